--- a/juniperlanding/net/ledger.py
+++ b/juniperlanding/net/ledger.py
@@ -1,23 +1,23 @@
-"""The ledger in the folder that lasts: what is owed, which pushes may have run, which notices are due.
+"""The ledger, in the state folder: pending notifications, pushes that may have run, unposted outcome notices.
 
-One record a line (`ledger_codec`).  Records gather until `flush`, which writes them at once; they
-are safe from then on, whatever happens to the process.
+One record a line (`ledger_codec`).  Records are buffered until `flush`, which writes them in one go; once
+written they survive a crash of the process.
 
-    t id topic destination ttl_at idempotency-key body   taken on; under a policy, its number follows
-    k id key                                             it keeps its order after that key
+    t id topic destination ttl_at idempotency-key body   accepted; under a policy, followed by its number
+    k id key                                             ordered with others of the same ordering key
     p id number zone sent_at                             a push whose last byte may leave from now on
-    n id number                                          that push is known never to have run; without its
-                                                         `p` it met nobody, and never left
-    o id outcome retry_ms                                over but for its notice
-    e id                                                 over, and remembered until its TTL
-    x id                                                 over as if it had never been taken on
-    d id ttl_at                                          over before this file was written, and remembered
-    c boot epoch now                                     the clock of these times, and its reading then
-
-Times are readings of one clock (`ground.clock`), which the next process goes on with.  Where the machine
-itself came up again nobody knows how long it was down: what is owed keeps the time that it had left at the
-last reading on file, so that a wrong wall clock ends nothing early and keeps nothing for longer than its TTL;
-a window for repeats counts as over.
+    n id number                                          that push is known not to have run; without a `p` of
+                                                         the same number it found no endpoint and never left
+    o id outcome retry_ms                                ended, but its outcome notice is not posted yet
+    e id                                                 ended; the id is remembered until its TTL
+    x id                                                 removed as if it had never been accepted
+    d id ttl_at                                          ended before this file was written; remembered
+    c boot epoch now                                     identity of the clock of these times, and a reading
+
+Times are readings of one clock (`ground.clock`), which the next process resumes.  After a reboot of the
+machine the length of the downtime is unknown: pending notifications keep the time they had left at the last
+recorded reading, so that a wrong wall clock neither expires them early nor keeps them beyond their TTL.
+Repeat windows count as elapsed.
 """
 
 import errno
@@ -28,66 +28,73 @@
 from juniperlanding.ground.clock import ClockStamp
 from juniperlanding.ground.errors import Trouble
 from juniperlanding.ground.seams import Files
-from juniperlanding.net.ledger_codec import is_whole, line, mended, parse, records_within
-
-FILE, MANIFEST = "ledger", "shards"
-FULL, WASTE = 3, 4  # eighths of the disk: what is owed may fill so many, and the file grows to so many
-OVER = 16  # of the disk, one part in so many may hold ids that are over
-REMEMBERED = 64  # bytes beside its id that one which is over takes until its TTL
-MORE = 512  # bytes beside its first record that one notification's pushes and end will add
-STAMP_EVERY = 1_000_000_000  # ns between readings of the clock on file; so much may a dead machine give back
-LONGEST_AGO = 1  # when a push began of which nobody knows when
-DOUBT = (
+from juniperlanding.net.ledger_codec import is_valid, line, parse, records_within, repaired
+
+FILE = "ledger"
+MANIFEST = "shards"
+FULL = 3  # eighths of the disk limit that pending notifications may take
+WASTE = 4  # eighths of the disk limit at which the file is compacted
+OVER = 16  # ids of ended notifications may take 1/OVER of the disk limit
+ENDED_ID_OVERHEAD = 64  # bytes that an ended notification takes until its TTL, besides its id
+LATER_RECORDS_SIZE = 512  # bytes reserved for a notification's records after the first: pushes and end
+CLOCK_RECORD_INTERVAL = 1_000_000_000  # ns; a reboot extends a TTL by this much at most
+UNKNOWN_SENT_AT = 1  # stands for the start of a push when it is unknown: earlier than any real one
+UNKNOWN_PUSH = (
     -1,
-    (0, LONGEST_AGO),
-)  # a push that a lost record may have told of: at an unknown place, and longest ago
-MOST_MENDED = 1 << 20  # bytes of damaged lines that are looked at byte by byte
-BAD = ValueError, TypeError, KeyError, IndexError  # what reading a damaged or a foreign record raises
+    (0, UNKNOWN_SENT_AT),
+)  # (number, (zone, sent_at)) of a push that a lost record may have described
+MAX_REPAIR_SIZE = 1 << 20  # bytes of damaged lines on which a byte-by-byte repair is tried
+INVALID_RECORD = ValueError, TypeError, KeyError, IndexError  # raised by a damaged or unknown record
 
 
 class Unreadable(Trouble, OSError):
-    """The ledger cannot be read: a start ends there; one that is the owner again tries until it can."""
+    """The ledger cannot be read. A starting process exits; one that takes the folder back retries."""
 
     code = "ledger-unreadable"
-    remedy = "Look at the disk and the rights in the folder; never remove the ledger, it is what is owed."
+    remedy = (
+        "Check the disk and the permissions of the folder; never delete the ledger, it holds pending work."
+    )
 
 
 class Damaged(Trouble):
-    """Whole records of the ledger cannot be read; the one half written at a kill is none of them."""
+    """Complete records of the ledger cannot be read; a last record cut off by a kill does not count."""
 
     code = "ledger-damaged"
-    remedy = "Check the disk, and whether another version wrote there; what only these records held is lost."
+    remedy = "Check the disk, and whether another version wrote to it; what only these records held is lost."
 
 
 class Split(Trouble, OSError):
-    """What is owed stands in several files, and shards are off: read as one, nothing would be owed."""
+    """The ledger is split into several files but shards are disabled; pending work would be missed."""
 
     code = "ledger-split"
-    remedy = "Turn [shards] on again; turn it off once the door's SHARDS tells of one file alone."
+    remedy = (
+        "Enable [shards] again; disable it only once the admin port's SHARDS command reports a single file."
+    )
 
 
 @dataclass(slots=True)
 class Owed:
-    """One notification as the ledger has it."""
+    """A pending notification, as recorded in the ledger."""
 
     id: str
     topic: str
     destination: int
     ttl_at: int
-    key: str = field(repr=False)
+    key: str = field(repr=False)  # its idempotency key
     body: bytes = field(repr=False)
     pushes: int = 0
     ran: dict = field(default_factory=dict)  # number: (zone, sent_at) of each push that may have run
-    left: bool = False  # whether any push of it left
+    left: bool = False  # whether any push of it was sent
     notice: tuple = ()
     size: int = 0
-    under: int = 0  # the policy's number when it was taken on
-    turn: str = ""  # the key after which it keeps its order
+    under: int = 0  # number of the policy under which it was accepted
+    turn: str = ""  # its ordering key
 
     def records(self):
+        """Yields the records that restore it."""
         body = b64encode(self.body).decode()
-        under = [self.under] if self.under else []
-        yield ["t", self.id, self.topic, self.destination, self.ttl_at, self.key, body, *under]
+        policy = [self.under] if self.under else []
+        yield ["t", self.id, self.topic, self.destination, self.ttl_at, self.key, body, *policy]
         if self.turn:
             yield ["k", self.id, self.turn]
         last = self.pushes - 1
@@ -100,17 +107,22 @@
 
 
 class Books:
-    """What is owed, as the records read so far have it."""
+    """The state that the records read so far add up to."""
 
     def __init__(self, files=None):
         self.files = files or Files()
-        self.owed, self.owed_size, self.skipped, self.damaged = {}, 0, 0, 0
-        # id: TTL.  Threat: one that is over comes again after a restart, and runs twice.
-        self.over, self.over_size, self.most_over = {}, 0, 1 << 62
-        self.stamp = None  # the latest reading of the clock that these times are of
+        self.owed = {}  # id: Owed
+        self.owed_size = 0
+        self.skipped = 0  # lines that are not one valid record
+        self.damaged = 0  # the same without the last line, which a kill may have cut off
+        # id: TTL of each ended notification, so that one submitted again after a restart does not run twice.
+        self.over = {}
+        self.over_size = 0
+        self.most_over = 1 << 62
+        self.stamp = None  # the latest recorded reading of the clock that these times refer to
         self.damaged_size = 0  # bytes of damaged lines met so far
-        self.whole_size = 0  # bytes of the file without half a record at its end
-        self.not_rewritten = None  # the OSError that kept a start from rewriting the file
+        self.whole_size = 0  # bytes of the file without a partial record at its end
+        self.not_rewritten = None  # the OSError that kept a start from compacting the file
 
     def load(self, path):
         try:
@@ -121,73 +133,79 @@
             raise Unreadable(error.errno, error.strerror or str(error), str(path)) from None
         lines = content.split(b"\n")
         self.whole_size = len(content) - len(lines[-1])
-        left = iter(enumerate(lines, 1))
-        for at, raw in left:
+        numbered = iter(enumerate(lines, 1))
+        for number, raw in numbered:
             try:
                 if raw:
                     self.apply(parse(raw), len(raw))
-            except BAD:
-                if self.read_damaged(lines, at):
-                    next(left)  # its line is read with the one before
+            except INVALID_RECORD:
+                if self.recover(lines, number):
+                    next(numbered)  # the next line was read together with this one
         return self
 
-    def read_damaged(self, lines, at):
-        """Read what can be read of a line (the `at`-th, from 1) that is no record: half of one at a kill,
-        another version's, or damaged.  Whether the line behind it was read with it."""
-        raw, is_last = lines[at - 1], at == len(lines)
+    def recover(self, lines, number):
+        """Reads what it can of a line (`number` counts from 1) that is not one valid record.
+
+        The line was cut off by a kill, written by another version, or damaged.  Returns whether the next
+        line was read together with it."""
+        raw = lines[number - 1]
+        is_last = number == len(lines)
         self.skipped += 1
         self.damaged += not is_last
         self.damaged_size += len(raw)
-        is_record_before_a_byte = is_last and not is_whole(raw) and is_whole(raw[:-1])
+        is_record_before_a_byte = is_last and not is_valid(raw) and is_valid(raw[:-1])
         found = list(records_within(raw[:-1] if is_record_before_a_byte else raw))
         is_lost = sum(size + 1 for _, size in found) - 1 < len(raw)
-        if is_lost and not is_last and self.damaged_size <= MOST_MENDED:
-            # The damaged byte may have become an end of line, which stands before or behind this part.
-            if self.mend(raw) or self.mend(b"\n" + raw):
+        if is_lost and not is_last and self.damaged_size <= MAX_REPAIR_SIZE:
+            # The damaged byte may have become a line feed, at the start or at the end of this line.
+            if self.apply_repaired(raw) or self.apply_repaired(b"\n" + raw):
                 return False
-            if at + 1 < len(lines) and self.mend(b"\n".join(lines[at - 1 : at + 1])):
+            if number + 1 < len(lines) and self.apply_repaired(b"\n".join(lines[number - 1 : number + 1])):
                 return True
         for record in found:
-            with suppress(*BAD):
+            with suppress(*INVALID_RECORD):
                 self.apply(*record)
         if is_lost and not is_last:
-            self.doubt()
+            self.assume_pushed()
         return False
 
-    def mend(self, raw):
-        """Whether a damaged line could be read after all."""
-        with suppress(*BAD):
-            self.apply(mended(raw), len(raw))
+    def apply_repaired(self, raw):
+        """Whether a damaged line could be repaired; its record is applied then."""
+        with suppress(*INVALID_RECORD):
+            self.apply(repaired(raw), len(raw))
             return True
         return False
 
-    def doubt(self):
-        """Threat: what is lost told of a push, or that its client was refused; a once-only one would look
-        untried and run twice, a collapsible one run past its window.  So what was taken on before may have
-        run, unless it is known to.  Not so for the last line, that a kill met half written: what it was to
-        tell of has not left."""
-        number, unknown = DOUBT
+    def assume_pushed(self):
+        """After a lost record, assumes that every notification without a known push may have run.
+
+        The lost record may have described a push, or the rejection of its client: a once-only notification
+        would look untried and run twice, and a collapsible one run after its repeat window.  This does not
+        apply to a last line that a kill cut off: what it describes has not been sent, since records are
+        written first."""
+        number, unknown = UNKNOWN_PUSH
         for owed in self.owed.values():
             if not owed.ran:
-                owed.ran[number], owed.left = unknown, True
+                owed.ran[number] = unknown
+                owed.left = True
 
     def add(self, owed, size):
-        """Threat: counted as more than it takes, what is owed fills the ledger while half of it is free."""
-        owed.size = size + MORE
+        """Counts the size of the written record: an overestimate would reject work while there is room."""
+        owed.size = size + LATER_RECORDS_SIZE
         self.owed[owed.id] = owed
         self.owed_size += owed.size
 
     def apply(self, record, size=0):
-        kind, number, *rest = record
+        kind, subject, *rest = record  # subject: the notification's id; of `c`, the machine's boot id
         if kind == "c":
-            return self.read(ClockStamp(number, *map(int, rest)))
+            return self.apply_clock(ClockStamp(subject, *map(int, rest)))
         if kind == "d":
-            return self.remember(number, int(rest[0]))
+            return self.remember(subject, int(rest[0]))
         if kind == "t":
-            topic, destination, ttl_at, key, body, *under = rest
-            owed = Owed(number, topic, destination, ttl_at, key, b64decode(body), under=sum(under))
+            topic, destination, ttl_at, key, body, *policy = rest
+            owed = Owed(subject, topic, destination, ttl_at, key, b64decode(body), under=sum(policy))
             return self.add(owed, size)
-        owed = self.owed.get(number)
+        owed = self.owed.get(subject)
         if owed is None:
             return
         if kind == "p":
@@ -201,96 +219,101 @@
         elif kind == "o":
             owed.notice = tuple(rest)
         elif kind in ("e", "x"):
-            self.owed_size -= self.owed.pop(number).size
+            self.owed_size -= self.owed.pop(subject).size
             if kind == "e":
-                self.remember(number, owed.ttl_at)
+                self.remember(subject, owed.ttl_at)
             else:
-                self.forget(number)
+                self.forget(subject)
 
-    def read(self, stamp):
-        """A reading of the clock; where it is of another one, what was read before moves to it.
+    def apply_clock(self, stamp):
+        """Takes in a clock reading; if it is of another clock, moves the times read so far to that one.
 
-        A process that cannot rewrite the file at its start writes on behind what another clock timed."""
+        A file has readings of several clocks where a process could not rewrite it at its start and appended
+        to it instead."""
         if self.stamp and (self.stamp.boot_id, self.stamp.epoch) != (stamp.boot_id, stamp.epoch):
-            self.move(stamp.now - self.last_reading())
+            self.shift_times(stamp.now - self.latest_time())
         self.stamp = stamp
 
-    def last_reading(self):
-        """The latest time that the records tell of."""
-        pushed = [at for owed in self.owed.values() for _, at in owed.ran.values()]
-        return max(self.stamp.now, *pushed, 0)
+    def latest_time(self):
+        """The latest time that the records mention."""
+        sent_times = [sent_at for owed in self.owed.values() for _, sent_at in owed.ran.values()]
+        return max(self.stamp.now, *sent_times, 0)
 
     def resume(self, clock):
-        """Make a clock show the times on file: go on with the one that they were written by, or, where the
-        machine came up again since, move the times to it."""
+        """Makes the clock continue the recorded one; after a reboot, moves the times to the clock instead."""
         if clock and self.stamp and not clock.resume(self.stamp):
-            self.move(clock.now() - self.last_reading())
+            self.shift_times(clock.now() - self.latest_time())
 
-    def move(self, span):
-        """Add a span to all deadlines; when a push began is not known any more."""
+    def shift_times(self, span):
+        """Adds a span to all deadlines; the times at which pushes began become unknown."""
         for owed in self.owed.values():
             owed.ttl_at += span
-            owed.ran = {number: (zone, LONGEST_AGO) for number, (zone, _) in owed.ran.items()}
-        self.over = {number: ttl_at + span for number, ttl_at in self.over.items()}
-
-    def remember(self, number, ttl_at):
-        """Bounded: when there is no room for more, the one that has been over longest is forgotten."""
-        self.forget(number)
-        self.over[number] = ttl_at
-        self.over_size += REMEMBERED + len(number)
+            owed.ran = {number: (zone, UNKNOWN_SENT_AT) for number, (zone, _) in owed.ran.items()}
+        self.over = {ntf_id: ttl_at + span for ntf_id, ttl_at in self.over.items()}
+
+    def remember(self, ntf_id, ttl_at):
+        """Remembers an ended notification; over the size limit, the one that ended first is forgotten."""
+        self.forget(ntf_id)
+        self.over[ntf_id] = ttl_at
+        self.over_size += ENDED_ID_OVERHEAD + len(ntf_id)
         while self.over_size > self.most_over:
             self.forget(next(iter(self.over)))
 
-    def forget(self, number):
-        """Its TTL is past: it may be let go."""
-        if number in self.over:
-            del self.over[number]
-            self.over_size -= REMEMBERED + len(number)
+    def forget(self, ntf_id):
+        """Forgets an ended notification, once its TTL has passed."""
+        if ntf_id in self.over:
+            del self.over[ntf_id]
+            self.over_size -= ENDED_ID_OVERHEAD + len(ntf_id)
 
 
 def whole(files, folder):
-    """`Split` for a folder whose ledger is in several files."""
+    """Raises `Split` for a folder whose ledger is in several files."""
     path = f"{folder}/{MANIFEST}"
     with suppress(FileNotFoundError):
         files.size(path)
-        raise Split(errno.EBUSY, "the ledger is in several files, and shards are off", path)
+        raise Split(errno.EBUSY, "the ledger is in several files, and shards are disabled", path)
 
 
 class Stamps:
-    """Readings of a clock for files: one at the head of each, then one a second while something is written.
+    """Clock records for ledger files: one at the start of each, then one a second while records are written.
 
-    clock: the process's; None: files without readings, as versions before them wrote."""
+    clock: the process's; None writes no clock records, as earlier versions did."""
 
     def __init__(self, clock):
-        self.clock, self.due_at = clock, 0
+        self.clock = clock
+        self.due_at = 0
 
     def line(self):
-        """The present reading as a record; nothing where the clock cannot tell the machine's start."""
+        """The current reading as an encoded record; b"" where the clock has no boot id."""
         stamp = self.clock.stamp() if self.clock else None
         return line(["c", stamp.boot_id, stamp.epoch, stamp.now]) if stamp else b""
 
     def due(self):
-        """As `line`, once a second has passed since the last that was `written`."""
+        """As `line`, but b"" until a second has passed since the last one that was `written`."""
         return self.line() if self.clock and self.clock.now() >= self.due_at else b""
 
     def written(self):
         if self.clock and self.clock.now() >= self.due_at:
-            self.due_at = self.clock.now() + STAMP_EVERY
+            self.due_at = self.clock.now() + CLOCK_RECORD_INTERVAL
 
 
 class Ledger(Books):
-    """`inherited`: another process of ours wrote it to the end, and may take it back; nothing is changed.
+    """The state, with the open file that every change is appended to.
 
-    `clock`: goes on with the one that the file was written by."""
+    inherited: another process of this dispatcher closed the file cleanly and may take it back, so the file is
+    not rewritten.  clock: resumes the clock of the file."""
 
     def __init__(self, folder, disk, files=None, inherited=False, clock=None):
         super().__init__(files)
         self.stamps = Stamps(clock)
         self.path = f"{folder}/{FILE}"
-        self.most_owed, self.most_file = disk * FULL // 8, disk * WASTE // 8
+        self.most_owed = disk * FULL // 8
+        self.most_file = disk * WASTE // 8
         self.most_over = disk // OVER
-        self.pending, self.file, self.file_size = [], -1, 0
-        self.torn = False  # half a record may stand at the file's end
+        self.pending = []  # encoded records that are not written yet
+        self.file = -1
+        self.file_size = 0
+        self.torn = False  # whether a partial record may be at the end of the file
         self.load(self.path)
         self.resume(clock)
         if inherited:
@@ -303,12 +326,13 @@
             self.go_on()
 
     def go_on(self):
-        """Write on behind what the file holds; half a record at its end is cut off before the next one."""
+        """Opens the existing file for appending; a partial record at its end is cut off before a write."""
         self.file, self.file_size = self.files.open(self.path), self.files.size(self.path)
         self.torn = self.whole_size < self.file_size
         self.file_size = min(self.whole_size, self.file_size)
 
     def take(self, *fields, under=0):
+        """Adds an accepted notification; `fields` are those of `Owed` up to the body."""
         owed = Owed(*fields, under=under)
         self.pending.append(line(next(owed.records())))
         self.add(owed, len(self.pending[-1]))
@@ -317,34 +341,39 @@
         self.apply(record)
         self.pending.append(line(record))
 
-    def replace_end(self, number, *end):
-        """Write another end of a message in place of one that is not on file yet.
+    def replace_end(self, ntf_id, *outcome):
+        """Replaces the recorded outcome of a notification while that record is still unwritten.
 
-        Behind it, a kill within the write could leave the first one alone on file."""
-        self.drop_pending(line(["o", number, *self.owed[number].notice]))
-        self.write("o", number, *end)
+        If the second outcome were written after the first, a kill during the write could leave the first one
+        alone in the file."""
+        self.drop_pending(line(["o", ntf_id, *self.owed[ntf_id].notice]))
+        self.write("o", ntf_id, *outcome)
 
     def drop_pending(self, raw):
-        """Let go of a record that gathered and was not written."""
+        """Discards an unwritten record."""
         self.pending = [one for one in self.pending if one != raw]
 
     def room(self, size):
-        return self.owed_size + 2 * size + 2 * MORE <= self.most_owed
+        """Whether a notification with a body of this size still fits."""
+        return self.owed_size + 2 * size + 2 * LATER_RECORDS_SIZE <= self.most_owed
 
     def flush(self):
-        """Write what gathered; on an error it stays gathered, and the file is as before."""
+        """Writes the buffered records; on an error they stay buffered, and the file is as before."""
         if not self.pending:
             return
         data = self.stamps.due() + b"".join(self.pending)
         if self.file_size + len(data) > self.most_file:
-            self.compact()  # what is pending is applied already, so it is in there
+            self.compact()  # the buffered records are already applied, so the new file includes them
         else:
             self.file_size += self.added(data)
             self.stamps.written()
         self.pending.clear()
 
     def added(self, data):
-        """Threat: half a record would spoil the next one too, and cutting it off fails as well."""
+        """Appends data to the file; returns its size.
+
+        A failed write may leave a partial record, which would make the next one unreadable as well.  It is
+        truncated at once or, where that fails too, before the next write."""
         if self.torn:
             self.cut_off()
         view = memoryview(data)
@@ -359,36 +388,38 @@
         return len(data)
 
     def write_some(self, file, view):
-        """How many bytes a write took; a disk that takes none without an error would be asked for ever."""
+        """Returns how many bytes were written; a write of 0 is an error, or callers would retry for ever."""
         size = self.files.write(file, view)
         if not size:
-            raise OSError(errno.EIO, "nothing was written")
+            raise OSError(errno.EIO, "write returned 0 bytes")
         return size
 
     def cut_off(self):
+        """Truncates a partial record at the end of the file."""
         self.files.truncate(self.file, self.file_size)
         self.torn = False
 
-    def append(self, file, data):
+    def write_all(self, file, data):
         view = memoryview(data)
         while view:
             view = view[self.write_some(file, view) :]
         return len(data)
 
     def compact(self):
-        """Write what is owed to a new file, and put it in the old one's place in one step."""
-        fresh, size = self.path + ".new", 0
-        file = self.files.open(fresh, fresh=True)
+        """Writes the current state to a new file, which then replaces the old one atomically."""
+        new_path = self.path + ".new"
+        size = 0
+        file = self.files.open(new_path, fresh=True)
         try:
             if self.owed or self.over:
-                size += self.append(file, self.stamps.line())
+                size += self.write_all(file, self.stamps.line())
             for owed in self.owed.values():
-                size += self.append(file, b"".join(map(line, owed.records())))
-            over = b"".join(line(["d", *entry]) for entry in self.over.items())
-            size += self.append(file, over)
-            self.files.rename(fresh, self.path)
+                size += self.write_all(file, b"".join(map(line, owed.records())))
+            ended = b"".join(line(["d", *entry]) for entry in self.over.items())
+            size += self.write_all(file, ended)
+            self.files.rename(new_path, self.path)
         except OSError:
-            with suppress(OSError):  # threat: the copy takes the room that the file itself needs
+            with suppress(OSError):  # the incomplete copy would take up space that the ledger itself needs
                 self.files.truncate(file, 0)
             self.let_go(file)
             raise
@@ -397,11 +428,12 @@
             self.let_go(old)
 
     def let_go(self, file):
-        with suppress(OSError):  # the descriptor is gone all the same
+        """Closes a file; the descriptor is released even if close fails."""
+        with suppress(OSError):
             self.files.close(file)
 
     def close(self):
-        """Write what gathered and let the file go; OSError when it could not be written."""
+        """Writes the buffered records and closes the file; OSError when they could not be written."""
         if self.file >= 0:
             try:
                 self.flush()
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -615,16 +615,18 @@
 
 def test_a_file_that_is_damaged_throughout_is_read_in_time(tmp_path, monkeypatch):
     """Byte by byte for so much of it alone."""
-    tried, whole = [], ledgers.mended
+    tried, repaired = [], ledgers.repaired
 
-    def mended(raw):
+    def counted(raw):
         tried.append(len(raw))
-        return whole(raw)
+        return repaired(raw)
 
-    monkeypatch.setattr(ledgers, "mended", mended)
+    monkeypatch.setattr(ledgers, "repaired", counted)
     (tmp_path / "ledger").write_bytes(b"".join(map(line, TAKEN)) + (b"x" * 1000 + b"\n") * 2000)
     assert Books().load(tmp_path / "ledger").damaged == 2000
-    assert sum(tried) < 6 * ledgers.MOST_MENDED  # each line alone, with an end before it, and with the next
+    assert (
+        sum(tried) < 6 * ledgers.MAX_REPAIR_SIZE
+    )  # each line alone, with an end before it, and with the next
 
 
 @pytest.mark.parametrize("damage", [b"\n", b"x", b"0"])
