--- a/juniperlanding/emulator/mutants.py
+++ b/juniperlanding/emulator/mutants.py
@@ -32,7 +32,7 @@
         setattr(where, attribute, before)
 
 
-FLUSH, UNANSWERED = ledger.Ledger.flush, endpoints.Endpoints.unanswered
+FLUSH, UNANSWERED = ledger.Ledger.flush, endpoints.Endpoints.finish_unanswered
 
 
 @mutant(ledger.Ledger, "flush")
@@ -157,21 +157,25 @@
     """The ids of what is over are never let go."""
 
 
-@mutant(endpoints.Endpoints, "ending")
+@mutant(endpoints.Endpoints, "outcome_of")
 def server_error_told_as_throttled(status, headers, many):
     """A 500, which may have run, is told as never run."""
     return "throttled" if status >= 500 else ENDING(status, headers, many)
 
 
-ENDING = endpoints.Endpoints.ending
+ENDING = endpoints.Endpoints.outcome_of
 server_error_told_as_throttled = staticmethod(server_error_told_as_throttled)
-MUTANTS["server_error_told_as_throttled"] = (endpoints.Endpoints, "ending", server_error_told_as_throttled)
+MUTANTS["server_error_told_as_throttled"] = (
+    endpoints.Endpoints,
+    "outcome_of",
+    server_error_told_as_throttled,
+)
 
 
-@mutant(endpoints.Endpoints, "unanswered")
+@mutant(endpoints.Endpoints, "finish_unanswered")
 async def broken_calls_told_as_never_run(self, call):
     """A connection that broke after the request is told as never run."""
-    call.written, call.tried = False, True
+    call.written, call.connect_tried = False, True
     await UNANSWERED(self, call)
 
 
--- a/juniperlanding/net/system_errors.py
+++ b/juniperlanding/net/system_errors.py
@@ -1,4 +1,4 @@
-"""What a failed accept or connect says: whom it concerns, and how soon it is tried again.  No I/O.
+"""Classifies errors of accept and connect: what they affect, and how long to pause before a retry.  No I/O.
 
 Sources: accept(2), connect(2) and socket(2) of Linux."""
 
@@ -10,10 +10,10 @@
         errno.ECONNABORTED,
         errno.ECONNRESET,
         errno.EPROTO,
-        errno.EPERM,  # a firewall's rule
+        errno.EPERM,  # a firewall rule
         errno.EINTR,
         errno.ETIMEDOUT,
-        # Errors of the network that were pending on the new connection; accept(2) wants them passed over.
+        # Network errors already pending on the new connection; accept(2) says to treat them as EAGAIN.
         errno.ENETDOWN,
         errno.ENOPROTOOPT,
         errno.EHOSTDOWN,
@@ -24,24 +24,25 @@
     }
 )
 RESOURCE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-NETWORK_ERRORS = frozenset({errno.ENETUNREACH, errno.ENETDOWN})  # no way there from here
+NETWORK_ERRORS = frozenset({errno.ENETUNREACH, errno.ENETDOWN})  # no route from this machine
 LOCAL_CONNECT_ERRORS = RESOURCE_ERRORS | NETWORK_ERRORS | {errno.EADDRNOTAVAIL, errno.EAGAIN}
-FIRST_PAUSE, MOST_PAUSE = 0.001, 0.02  # seconds; doubled from one failure to the next
-UNKNOWN_PAUSE = 0.05  # seconds after an error that no page names
-MOST_PASSED_OVER = 64  # failures of single connections in a row; more of them come from something else
-LOG_EVERY = 60.0  # seconds between two lines on the same kind of error
+FIRST_PAUSE = 0.001  # seconds; doubled with each consecutive failure
+MAX_PAUSE = 0.02
+UNKNOWN_ERROR_PAUSE = 0.05  # seconds after an error that no manual page names
+MAX_CONNECTION_ERRORS = 64  # consecutive failures of single connections; more must have another cause
+LOG_INTERVAL = 60.0  # seconds between two log lines about the same error
 
 
 class Concerns(enum.Enum):
-    """Whom an error concerns."""
+    """What an error affects."""
 
-    CONNECTION = "connection"  # that one alone: the next may be fine
-    RESOURCES = "resources"  # this process or machine lacks descriptors or memory, which passes
+    CONNECTION = "connection"  # a single connection: the next accept may succeed
+    RESOURCES = "resources"  # this process or machine is short of descriptors or memory, for a while
     UNKNOWN = "unknown"
 
 
 def concerns(error):
-    """Whom an OSError of accept concerns."""
+    """What an OSError of accept affects."""
     if error.errno in CONNECTION_ERRORS:
         return Concerns.CONNECTION
     if error.errno in RESOURCE_ERRORS:
@@ -50,55 +51,55 @@
 
 
 def is_local(error):
-    """Whether a failed connect is this machine's trouble, and says nothing of the other side."""
+    """Whether connect failed because of this machine, which says nothing about the peer."""
     return isinstance(error, OSError) and error.errno in LOCAL_CONNECT_ERRORS
 
 
 class Backoff:
-    """Pauses between tries that keep failing, in seconds."""
+    """Exponential backoff, in seconds."""
 
     def __init__(self):
         self.failures = 0
 
-    def succeeded(self):
-        """A try went well: the next pause is the first again."""
+    def reset(self):
+        """After a success: the next pause is the shortest again."""
         self.failures = 0
 
-    def failed(self):
-        """Count a failure; the pause until the next try."""
+    def next_pause(self):
+        """Counts a failure; returns the pause before the next try."""
         self.failures += 1
-        return min(FIRST_PAUSE * 2 ** min(self.failures - 1, 16), MOST_PAUSE)
+        return min(FIRST_PAUSE * 2 ** min(self.failures - 1, 16), MAX_PAUSE)
 
 
 class AcceptErrors:
-    """The failed accepts of one listener: pauses, and which of them are worth a line in the log."""
+    """The accept errors of one listener: how long to pause after each, and which ones to log."""
 
     def __init__(self):
-        self.backoff, self.in_a_row, self.logged_at = Backoff(), 0, {}
+        self.backoff, self.consecutive_errors, self.logged_at = Backoff(), 0, {}  # logged_at: by errno
 
     def succeeded(self):
-        """An accept went well: errors in a row end here."""
-        self.backoff.succeeded()
-        self.in_a_row = 0
+        """After a successful accept: the count of consecutive errors starts again."""
+        self.backoff.reset()
+        self.consecutive_errors = 0
 
     def pause(self, error):
-        """Seconds until accepting goes on after this error; 0 where it concerns that connection alone.
+        """Seconds to wait before the next accept; 0 when the error affects a single connection.
 
-        Errors without end that seem to be of connections would use up the processor."""
+        An endless series of connection errors is paused as well, or it would use up the processor."""
         kind = concerns(error)
-        self.in_a_row += 1
-        if kind is Concerns.CONNECTION and self.in_a_row <= MOST_PASSED_OVER:
+        self.consecutive_errors += 1
+        if kind is Concerns.CONNECTION and self.consecutive_errors <= MAX_CONNECTION_ERRORS:
             return 0.0
-        return self.backoff.failed() if kind is Concerns.RESOURCES else UNKNOWN_PAUSE
+        return self.backoff.next_pause() if kind is Concerns.RESOURCES else UNKNOWN_ERROR_PAUSE
 
     def is_news(self, error, now):
-        """Whether an error of this kind was not logged within the last minute; `now` in seconds."""
-        if now - self.logged_at.get(error.errno, -LOG_EVERY) < LOG_EVERY:
+        """Whether to log the error: none with its errno was logged in the last minute.  `now` in seconds."""
+        if now - self.logged_at.get(error.errno, -LOG_INTERVAL) < LOG_INTERVAL:
             return False
         self.logged_at[error.errno] = now
         return True
 
 
 def name(error):
-    """Its symbol, for counters: `EMFILE`."""
+    """The symbol of its errno, for counters: `EMFILE`."""
     return errno.errorcode.get(error.errno, "other")
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -13,9 +13,9 @@
 from juniperlanding.ground import seams
 from juniperlanding.net.system_errors import (
     FIRST_PAUSE,
-    MOST_PASSED_OVER,
-    MOST_PAUSE,
-    UNKNOWN_PAUSE,
+    MAX_CONNECTION_ERRORS,
+    MAX_PAUSE,
+    UNKNOWN_ERROR_PAUSE,
     AcceptErrors,
 )
 from juniperlanding.standins.peers import read_message
@@ -188,12 +188,12 @@
     assert errors.pause(OSError(errno.ECONNABORTED, "")) == 0
     assert errors.pause(OSError(errno.EPERM, "")) == 0
     pauses = [errors.pause(OSError(errno.EMFILE, "")) for _ in range(12)]
-    assert pauses[0] == FIRST_PAUSE and pauses[1] == 2 * FIRST_PAUSE and pauses[-1] == MOST_PAUSE
+    assert pauses[0] == FIRST_PAUSE and pauses[1] == 2 * FIRST_PAUSE and pauses[-1] == MAX_PAUSE
     errors.succeeded()
     assert errors.pause(OSError(errno.ENFILE, "")) == FIRST_PAUSE
-    assert errors.pause(OSError(errno.EBADF, "")) == UNKNOWN_PAUSE
-    storm = [errors.pause(OSError(errno.EPROTO, "")) for _ in range(MOST_PASSED_OVER + 1)]
-    assert storm[0] == 0 and storm[-1] == UNKNOWN_PAUSE
+    assert errors.pause(OSError(errno.EBADF, "")) == UNKNOWN_ERROR_PAUSE
+    storm = [errors.pause(OSError(errno.EPROTO, "")) for _ in range(MAX_CONNECTION_ERRORS + 1)]
+    assert storm[0] == 0 and storm[-1] == UNKNOWN_ERROR_PAUSE
 
 
 def test_each_kind_of_failed_accept_is_logged_once_a_minute_and_counted_each_time(site):
