--- a/tests/test_endings_endpoint.py
+++ b/tests/test_endings_endpoint.py
@@ -1,6 +1,6 @@
-"""Calls to endpoints at the instant in which they end: each crossing is forced, and has one outcome.
+"""Calls to endpoints that end while their connection is still being established.
 
-docs/sockets.md, "What ends a call, and what it proves", says which outcome that is."""
+Each test forces one order of events, which has exactly one outcome; docs/sockets.md says which."""
 
 import json
 import socket
@@ -16,11 +16,11 @@
 from juniperlanding.net.endpoints import Send
 from juniperlanding.standins.peers import http
 
-PAIR = WIRE | {"family_info": WIRE["family_info"] | {"batch_by_kind": [5, 5]}}
+BATCHED = WIRE | {"family_info": WIRE["family_info"] | {"batch_by_kind": [5, 5]}}
 
 
 class Held(Network):
-    """Connections to endpoints come up once `go` is set; `began` counts those that were asked for."""
+    """Establishes connections to the endpoint once `go` is set; `began` counts those requested."""
 
     def __init__(self, far):
         self.far, self.go, self.began = far, trio.Event(), 0
@@ -41,7 +41,9 @@
 
 
 def ids(far):
-    """What reached an endpoint, call by call; callers of another test that had its port are passed over."""
+    """The ids that reached an endpoint, call by call.
+
+    Ignores requests from another test whose endpoint used the same port before."""
     calls = [message for message in far.got if message[0].startswith("POST /v1/")]
     return [
         [item["id"] for item in json.loads(body)]
@@ -51,22 +53,22 @@
     ]
 
 
-async def held(site, outcomes):
-    """Threat: the machine takes longer than a connection may, where it is no part of the crossing."""
+async def held_calls(site, outcomes):
+    """Endpoints whose connects are held, with a connect time-out that a slow machine does not reach."""
     site.wire = WIRE | {"permissions": WIRE["permissions"] | {"connect_timeout_ns": 60 * SEC}}
     calls = await endpoints(site, outcomes)
     calls.network = Held(site.far)
     return calls
 
 
-# ---- a connection that comes up late
+# ---- a connection that is established late
 
 
 def test_what_ended_while_the_connection_came_up_does_not_leave_with_the_others(site):
     outcomes = []
 
     async def scene(site):
-        calls, now = await held(site, outcomes), CLOCK.now()
+        calls, now = await held_calls(site, outcomes), CLOCK.now()
         soon, late = now + SEC // 10, now + 60 * SEC
         calls.start(
             site.nursery,
@@ -77,11 +79,11 @@
                 Send("c", 0, "", b"", late, late, late),
             ],
         )
-        await site.until(lambda: outcomes)  # its end is told at once, and not when the connection is up
-        assert [told[:3] for told in outcomes] == [("a", 0, "moot")]
+        await site.until(lambda: outcomes)  # reported at once, not when the connection is established
+        assert [outcome[:3] for outcome in outcomes] == [("a", 0, "moot")]
         calls.network.go.set()
         await site.until(lambda: len(outcomes) == 3)
-        assert [told[2] for told in outcomes] == ["moot", "delivered", "delivered"]
+        assert [outcome[2] for outcome in outcomes] == ["moot", "delivered", "delivered"]
         assert ids(site.far) == [["b", "c"]] and not calls.out
 
     site.run(scene, each_accepted)
@@ -91,13 +93,13 @@
     outcomes = []
 
     async def scene(site):
-        calls = await held(site, outcomes)
+        calls = await held_calls(site, outcomes)
         calls.start(site.nursery, "s-1", [send("a"), send("b")])
         await site.until(lambda: calls.network.began)
         calls.cancel("a", 0)
         calls.network.go.set()
         await site.until(lambda: len(outcomes) == 2)
-        assert [(told[0], told[2]) for told in outcomes] == [("a", "moot"), ("b", "delivered")]
+        assert [(outcome[0], outcome[2]) for outcome in outcomes] == [("a", "moot"), ("b", "delivered")]
         assert ids(site.far) == [["b"]] and not calls.out
 
     site.run(scene, each_accepted)
@@ -108,12 +110,12 @@
     outcomes = []
 
     async def scene(site):
-        calls = await held(site, outcomes)
+        calls = await held_calls(site, outcomes)
         calls.start(site.nursery, "s-1", [send(name, SEC // 10) for name in "ab"[:sends]])
         await site.until(lambda: len(outcomes) == sends)
         calls.network.go.set()
         await site.until(lambda: calls.connection_limit.value == 8)
-        assert {told[2] for told in outcomes} <= {"moot", "unreachable"}
+        assert {outcome[2] for outcome in outcomes} <= {"moot", "unreachable"}
         assert not site.far.connections and not calls.out
 
     site.run(scene, each_accepted)
@@ -121,21 +123,22 @@
 
 @pytest.mark.parametrize("topic", ["order", "pay", "news"])
 def test_a_notice_is_posted_and_nothing_sent_on_after_it(site, topic):
-    """A connection comes up once the notice is there; whatever the kind, nothing has run."""
-    site.wire = PAIR
+    """The connection is established after the outcome notice: nothing has run, whatever the topic type."""
+    site.wire = BATCHED
 
     async def scene(site):
         site.world = replace(site.world, network=Held(site.far))
         node = await site.start()
-        # The first goes alone and holds its connection; the two behind it share a call.
-        for number, ttl in (("a", 900), ("b", 900), ("c", 5000)):
-            assert await site.submit(number, topic, ttl=ttl) == 202
-        await site.until(lambda: {told["message"] for told in site.platform.notices} == {"a", "b"})
-        assert all(told["outcome"] == "handed_back" for told in site.platform.notices)
+        # The first is a call of its own, whose connection is held; the other two share a call.
+        for name, ttl in (("a", 900), ("b", 900), ("c", 5000)):
+            assert await site.submit(name, topic, ttl=ttl) == 202
+        await site.until(lambda: {notice["message"] for notice in site.platform.notices} == {"a", "b"})
+        assert all(notice["outcome"] == "handed_back" for notice in site.platform.notices)
         site.world.network.go.set()
         await site.until(lambda: node.counters["pushes_delivered"] and not node.ledger.owed)
         assert ids(site.far) == [["c"]]
-        assert {told["message"] for told in site.platform.notices} == {"a", "b"}  # twice does no harm
+        # A notice may be posted twice.
+        assert {notice["message"] for notice in site.platform.notices} == {"a", "b"}
 
     site.run(scene, each_accepted)
 
@@ -148,9 +151,9 @@
         network = Network()
         listener = network.bind(("127.0.0.1", 0))
         listener.listen()
-        there = await network.connect(listener.address)
-        here, _ = await listener.accept()
-        for sock in (there, here, network.inherit(there.raw.dup().detach())):
+        client = await network.connect(listener.address)
+        server, _ = await listener.accept()
+        for sock in (client, server, network.inherit(client.raw.dup().detach())):
             assert sock.raw.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
             sock.close()
         listener.close()
--- a/tests/test_gone_endpoint.py
+++ b/tests/test_gone_endpoint.py
@@ -1,4 +1,4 @@
-"""A whole list that no longer names an endpoint while a call to it still connects."""
+"""A complete list that no longer names an endpoint while a call to it is still connecting."""
 
 from dataclasses import replace
 
--- a/tests/test_moved_endpoint.py
+++ b/tests/test_moved_endpoint.py
@@ -1,4 +1,4 @@
-"""The list tells another address for an endpoint that it named before."""
+"""The list has a new address for an endpoint that it named before."""
 
 import pytest
 from test_restart import sent
@@ -9,7 +9,7 @@
 
 @pytest.mark.parametrize("is_out", [False, True])
 def test_an_endpoint_that_moved_is_called_at_its_new_address_alone(site, is_out):
-    """A connection that was kept to the old one would carry the next call to whoever listens there now."""
+    """A kept connection to the old address would carry the next call to whoever listens there now."""
 
     async def scene(site):
         node = await site.start()
@@ -22,8 +22,8 @@
         moved = await Far().open(site.nursery)
         found = protocol.entries([member(1, moved.address)], ["m1", "m2"], ["a"])
         await node.owner.tell(node.owner.listed, "changes", found)
-        await node.owner.tell(len, "")  # and the round that has it is over
-        site.far.go.set()  # an answer that is out is still heard
+        await node.owner.tell(len, "")  # returns once the loop has processed the list
+        site.far.go.set()  # the response to a call in progress is still read
         await site.until(lambda: not node.ledger.owed)
         assert await site.submit("a1") == 202
         await site.until(lambda: not node.ledger.owed)
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -1,4 +1,4 @@
-"""System calls that fail as Linux documents: what that costs the clients of this process."""
+"""Effects on clients when system calls fail with the errors that Linux documents."""
 
 import errno
 import os
@@ -26,10 +26,10 @@
 
 
 class FailingListener:
-    """A listener of which a share of the accepts fails: in turn each error, by a seeded chance.
+    """A listener of which a random share (seeded) of the accepts fails, with each error in turn.
 
-    As in Linux, the connection stays in the backlog where the process has no room for it, and is gone
-    where the error was the connection's own."""
+    As in Linux, the connection stays in the backlog if the process lacks the resources for it, and is gone
+    if the error was that connection's."""
 
     def __init__(self, listener, errors=FAILURES, share=SHARE_FAILING):
         self.listener, self.errors, self.share = listener, list(errors), share
@@ -49,6 +49,8 @@
 
 
 class FailingNetwork(seams.Network):
+    """Wraps the listener that is bound."""
+
     def __init__(self, wrap):
         self.wrap, self.listener = wrap, None
 
@@ -57,7 +59,8 @@
         return self.listener
 
 
-async def asked(site, answers):
+async def check_health(site, answers):
+    """Sends a request on a new connection, and collects the first line of an answer that comes in time."""
     with trio.move_on_after(ANSWER_WITHIN):
         stream = await site.client()
         await stream.send_all(b"GET /_health HTTP/1.1\r\nHost: api\r\n\r\n")
@@ -66,7 +69,7 @@
 
 
 def test_failing_accepts_keep_no_client_from_its_answer(site):
-    """100 new connections a second, of whose accepts three in ten fail: each is answered within a second."""
+    """With 100 new connections a second and 30% of accepts failing, each is answered within a second."""
     network = FailingNetwork(FailingListener)
     site.world = replace(site.world, network=network)
 
@@ -75,7 +78,7 @@
         answers = []
         async with trio.open_nursery() as nursery:
             for _ in range(200):
-                nursery.start_soon(asked, site, answers)
+                nursery.start_soon(check_health, site, answers)
                 await trio.sleep(0.01)
         assert network.listener.failed >= 50
         assert len(answers) == 200, f"{200 - len(answers)} of 200 got no answer in time"
@@ -84,7 +87,7 @@
 
 
 class FailingConnects(seams.Network):
-    """The first connects to one address fail with an error of this machine."""
+    """The first connects to one address fail with a local error."""
 
     def __init__(self, number, times):
         self.number, self.left, self.to = number, times, None
@@ -97,18 +100,26 @@
         return await super().connect(address)
 
 
-LOCAL = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.ENETUNREACH]
+LOCAL_ERRORS = [
+    errno.EMFILE,
+    errno.ENFILE,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+    errno.EADDRNOTAVAIL,
+    errno.ENETUNREACH,
+]
 
 
-def test_connects_that_fail_for_want_of_our_own_means_strike_no_endpoint(site):
-    """Six in a row, of each kind: the call is made in the end, its endpoint in no doubt, its try not used."""
+def test_connects_that_fail_locally_do_not_count_against_the_endpoint(site):
+    """Six in a row of each error: the call is made in the end; the errors count neither against its
+    endpoint nor as pushes."""
     network = FailingConnects(0, 0)
     site.world = replace(site.world, network=network)
 
     async def scene(site):
         node = await site.start()
         network.to = site.far.address
-        for number in LOCAL:
+        for number in LOCAL_ERRORS:
             name = errno.errorcode[number]
             network.number, network.left = number, 6
             node.owner.endpoints.close_idle("s-1")
@@ -116,13 +127,13 @@
             await site.until(lambda: not node.ledger.owed)
             endpoint = node.owner.at.me.endpoints["s-1"]
             assert not endpoint.run and not endpoint.trouble and not network.left, name
-        assert len(site.far.got) == len(LOCAL) and not site.platform.notices
+        assert len(site.far.got) == len(LOCAL_ERRORS) and not site.platform.notices
 
     site.run(scene)
 
 
 class FailingDisk(seams.Files):
-    """Writes fail while `failing` is set: all of them, or a share by a seeded chance."""
+    """Writes fail while `failing` is set: all of them, or a random share (seeded)."""
 
     def __init__(self, share=1.0, number=errno.EIO):
         self.failing, self.share, self.number = False, share, number
@@ -145,7 +156,7 @@
         node = await site.start()
         await opened(site, node)
         await trio.sleep(0.2)
-        assert not sent(site) and len(node.ledger.owed) == 2  # nothing leaves unwritten
+        assert not sent(site) and len(node.ledger.owed) == 2  # nothing is sent that is not in the ledger
         files.failing = False
         await site.until(lambda: not node.ledger.owed)
         assert sorted(sent(site)) == ["a0", "a1"] and not site.platform.notices
@@ -157,7 +168,8 @@
 
 @pytest.mark.parametrize("number", [errno.ECONNABORTED, errno.ENFILE])
 def test_who_stands_in_the_backlog_at_the_end_is_answered_though_an_accept_fails(site, number):
-    """One connection's error would have ended the last look, and the close reset all behind it."""
+    """An error of one connection must not end the last accepts, or closing the listener would reset all the
+    connections behind it."""
 
     class Once(FailingListener):
         def waiting(self):
@@ -192,8 +204,8 @@
     errors.succeeded()
     assert errors.pause(OSError(errno.ENFILE, "")) == FIRST_PAUSE
     assert errors.pause(OSError(errno.EBADF, "")) == UNKNOWN_ERROR_PAUSE
-    storm = [errors.pause(OSError(errno.EPROTO, "")) for _ in range(MAX_CONNECTION_ERRORS + 1)]
-    assert storm[0] == 0 and storm[-1] == UNKNOWN_ERROR_PAUSE
+    connection_pauses = [errors.pause(OSError(errno.EPROTO, "")) for _ in range(MAX_CONNECTION_ERRORS + 1)]
+    assert connection_pauses[0] == 0 and connection_pauses[-1] == UNKNOWN_ERROR_PAUSE
 
 
 def test_each_kind_of_failed_accept_is_logged_once_a_minute_and_counted_each_time(site):
@@ -203,15 +215,15 @@
     async def scene(site):
         node = await site.start()
         for _ in range(20):
-            await asked(site, [])
+            await check_health(site, [])
         assert node.counters["accept_errors_EMFILE"] == network.listener.failed > 3
         assert len([1 for event, _ in site.lines if event == "accept"]) == 1
 
     site.run(scene)
 
 
-def test_a_way_that_is_not_there_for_long_is_the_endpoint_s_trouble(site):
-    """Another endpoint may have one; only for a moment it is waited for."""
+def test_a_route_that_stays_missing_counts_against_the_endpoint(site):
+    """It is waited for only for a moment, since there may be a route to another endpoint."""
     network = FailingConnects(errno.ENETUNREACH, 1 << 30)
     site.world = replace(site.world, network=network)
 
@@ -236,17 +248,17 @@
         files.failing = True
         answers = []
 
-        async def handed_in(number):
+        async def submit(number):
             answers.append(await site.submit(f"a{number}"))
 
         async with trio.open_nursery() as nursery:
             for number in range(200):
-                nursery.start_soon(handed_in, number)
+                nursery.start_soon(submit, number)
                 await trio.sleep(0.01)
         files.failing = False
         await site.until(lambda: not node.ledger.owed)
         assert files.failed > 30 and len(answers) == 200
-        assert answers.count(202) >= 180, f"{answers.count(503)} of 200 were turned away"
+        assert answers.count(202) >= 180, f"{answers.count(503)} of 200 were rejected"
 
     site.run(scene)
 
