--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -1,4 +1,4 @@
-"""What a restart finds: the untried is tried, and what may have run keeps to its window."""
+"""After a restart, the untried is sent, and what may have run is repeated only within its window."""
 
 import json
 import socket
@@ -26,18 +26,19 @@
 
 
 def restored(bed, topic=REPEATABLE, ttl=20, **more):
+    """Gives the decision module a notification as a restart does, untried unless told otherwise; its id."""
     bed.count += 1
     bed.at.notification(bed.count, topic, 1, ttl_at=bed.at.now + int(ttl * SEC), **{"unsent": True} | more)
     return bed.count
 
 
 def sent(site):
-    """Ids in the order of their calls; strangers, at a port that was used before, are passed over."""
+    """Ids in the order of their calls; ignores requests from tests that used the same port before."""
     return [headers["x-trace-id"] for _, headers, _ in site.far.got if "x-trace-id" in headers]
 
 
 async def taken_and_killed(site, names, topic="news"):
-    """Taken on for a destination none of whose endpoints may be used, and killed so."""
+    """Accepts notifications for a destination without an endpoint in service, then kills the process."""
     node, stream = await site.start(), await site.client()
     for name in names:
         assert await site.submit(name, topic, stream, dest=8, ttl=20_000) == 202
@@ -46,7 +47,7 @@
 
 
 async def opened(site, node):
-    """The list says that the destination may be used from now on."""
+    """The list puts an endpoint of that destination in service."""
     found = protocol.entries([member(8, site.far.address, cell=8)], ["m1", "m2"], ["a"])
     await node.owner.tell(node.owner.listed, "changes", found)
 
@@ -55,7 +56,7 @@
 
 
 def test_untried_with_all_places_taken_each_get_a_call(site):
-    """Nine in ten places is where what is worth least is thrown out; it would be these, and unseen."""
+    """At nine tenths of the capacity, those worth least are rejected: without care these, never called."""
     names = [f"a{number}" for number in range(10)]
 
     async def scene(site):
@@ -63,7 +64,7 @@
         site.wire = with_permissions(most_held=10)
         node = await site.start()
         await site.until(lambda: node.owner.ready)
-        assert await site.submit("b0", "order") == 503  # places are taken: the new one waits its turn
+        assert await site.submit("b0", "order") == 503  # at capacity, a new one is rejected
         assert not site.platform.notices and len(node.owner.at.me.notifications) == 10
         await opened(site, node)
         await site.until(lambda: not node.ledger.owed)
@@ -80,7 +81,7 @@
         node = await site.start()
         await site.until(lambda: node.owner.ready)
         for name in ("b0", "b1", "b2"):
-            assert await site.submit(name, "pay", dest=8) == 202  # worth twice as much, and fresh
+            assert await site.submit(name, "pay", dest=8) == 202  # worth twice as much, and newer
         await opened(site, node)
         await site.until(lambda: not node.ledger.owed)
         assert sorted(list(dict.fromkeys(sent(site)))[:3]) == ["a0", "a1", "a2"]
@@ -99,10 +100,10 @@
     bed.turn()
     assert bed.pushed[-1][0] == untried
     bed.end(untried, "throttled", 0)
-    assert bed.host.all("throttled")[-1] == [untried, 0]  # it has had its call
+    assert bed.host.all("throttled")[-1] == [untried, 0]  # rejected once it has been sent
 
 
-def places_taken(bed):
+def at_capacity(bed):
     for _ in range(40):
         bed.take(COLLAPSIBLE)
 
@@ -135,17 +136,17 @@
 
 
 def of_many(bed):
-    bed.at.me.dispatchers = 200  # its part of a cold endpoint's budget is less than a call in the time
-    restored(bed, ttl=60, pushes=1, unsent=False)  # and one that failed before the restart
+    bed.at.me.dispatchers = 200  # its share of a cold endpoint's budget is less than one call in the time
+    restored(bed, ttl=60, pushes=1, unsent=False)  # and one whose push failed before the restart
 
 
 @pytest.mark.parametrize("topic", [REPEATABLE, COLLAPSIBLE, ONCE_ONLY, ORDERED])
-@pytest.mark.parametrize("meets", [places_taken, slow, drained, told_to_wait, down, ends_soon, of_many])
-def test_no_untried_one_is_given_up_while_half_of_its_time_is_left(meets, topic):
-    """Whatever it meets, it is called or held; here calls end as a throttled one does, at most one each."""
+@pytest.mark.parametrize("condition", [at_capacity, slow, drained, told_to_wait, down, ends_soon, of_many])
+def test_no_untried_one_is_given_up_while_half_of_its_time_is_left(condition, topic):
+    """Under each condition it is sent or kept; here each push ends as throttled."""
     bed = Bed(most_held=50, dispatchers=2)
-    meets(bed)
-    known = {told[0] for told in bed.host.all("throttled") + bed.host.all("expired")}
+    condition(bed)
+    ended_before = {notice[0] for notice in bed.host.all("throttled") + bed.host.all("expired")}
     names = {restored(bed, topic, key="k" * (topic == ORDERED)) for _ in range(30)}
     begun, called = bed.at.now, set()
     while bed.at.now < begun + 10 * SEC:
@@ -153,7 +154,7 @@
         for ntf_id, number in list(bed.at.me.pushes):
             called.add(ntf_id)
             bed.end(ntf_id, "throttled", 0, number=number)
-    ended = {told[0] for told in bed.host.all("throttled") + bed.host.all("expired")} - known
+    ended = {notice[0] for notice in bed.host.all("throttled") + bed.host.all("expired")} - ended_before
     assert not (ended & names) - called
 
 
@@ -164,7 +165,7 @@
     bed.turn()
     bed.at.listed("changes", [(10, 1, 0, 50.0, 0, "draining")])
     bed.end(untried, ending)
-    fresh = [bed.take(COLLAPSIBLE) for _ in range(90)]  # 91 held, and 90 is where the least is thrown out
+    fresh = [bed.take(COLLAPSIBLE) for _ in range(90)]  # 91 held; at 90 the one worth least is rejected
     bed.turn()
     assert len(bed.host.all("throttled")) == 1 and (bed.host.all("throttled")[0][0] in fresh) == kept
 
@@ -179,20 +180,20 @@
 
 
 def test_the_untried_of_a_restart_are_paced_and_not_sent_at_once():
-    """A process knows of no outage as it starts: a call or two at once, and then its share."""
+    """A starting process knows of no outage: it sends one or two at once, then its share of the rate."""
     bed = Bed(scale=10.0, dispatchers=10)
     for _ in range(60):
         restored(bed)
     calls = bed.turn()
     assert calls <= 2
-    for at in range(calls):
-        bed.end(bed.pushed[at][0], "delivered", 0)
+    for index in range(calls):
+        bed.end(bed.pushed[index][0], "delivered", 0)
     begun, seen = bed.at.now, calls
     while bed.at.now < begun + 2 * SEC:
-        for at in range(seen, bed.turn(0.01)):
-            bed.end(bed.pushed[at][0], "delivered", 0)
+        for index in range(seen, bed.turn(0.01)):
+            bed.end(bed.pushed[index][0], "delivered", 0)
             seen += 1
-    # a quarter of the limit at most (SPARE): of what mostly stands idle any one may use so much
+    # At most a quarter of the limit (SPARE), which one dispatcher may use while the others are mostly idle.
     assert seen <= 2 + 0.25 * 1.3 * 10 * 2 + 1
 
 
@@ -208,33 +209,35 @@
         }
         node = await site.start()
         await site.until(lambda: not node.ledger.owed)
-        assert set(said(site)) == set(names) and not site.platform.notices
+        assert set(all_sent(site)) == set(names) and not site.platform.notices
 
     def answer(first, headers, body):
-        return http(200, ended(body) if "batch" in first else b"")
+        return http(200, all_accepted(body) if "batch" in first else b"")
 
     site.run(scene, answer)
 
 
-def said(site):
+def all_sent(site):
+    """Ids of all calls, those in batches included."""
     found = []
     for first, _, body in site.far.got:
         found += [item["id"] for item in json.loads(body)] if "batch" in first else []
     return found + sent(site)
 
 
-def ended(body):
+def all_accepted(body):
+    """The response to a batch that accepts each of its notifications."""
     return json.dumps([{"id": item["id"], "state": "accepted"} for item in json.loads(body)]).encode()
 
 
-# ---- what may have run
+# ---- pushes that may have run
 
 PAY = next(topic for topic in WIRE["request_classes"] if topic["name"] == "pay")
-WINDOW = 1  # second, as short as it may be
+WINDOW = 1  # second, the shortest allowed
 
 
-class Set(Clock):
-    """A clock that goes on from where it was set; it does not tell the machine's start."""
+class SettableClock(Clock):
+    """A clock that continues from where it was set; it has no boot id."""
 
     def __init__(self):
         self.ahead, self.boot_id = 0, ""
@@ -251,19 +254,19 @@
 
 @pytest.fixture
 def narrow(site):
-    """A site whose collapsible topic may be repeated for a second, and whose clock can be set."""
+    """A site whose collapsible topic has a repeat window of a second, and whose clock can be set."""
     topics = [
         PAY | {"repeat_window_ns": WINDOW * SEC} if topic is PAY else topic
         for topic in WIRE["request_classes"]
     ]
     site.wire = WIRE | {"request_classes": topics}
-    site.clock = Set()
+    site.clock = SettableClock()
     site.world = replace(site.world, clock=site.clock)
     return site
 
 
 async def pushed_and_killed(site, name="a1"):
-    """A push of it is out, and the process is killed; when that push began."""
+    """Kills the process while a push is in progress; returns when the first push began."""
     before = len(sent(site))
     await site.start()
     if not before:
@@ -276,7 +279,8 @@
 
 @pytest.mark.parametrize("after, calls", [(0.5, 2), (0.95, 1), (-1, 1)])
 def test_a_window_of_1_s_goes_on_over_a_restart(narrow, after, calls):
-    """Past it, less 5% for travel, nothing goes; nor where the clock was set back, and nobody knows."""
+    """Nothing is repeated after the window, less 5% for transmission, nor when the clock was set back and the
+    time since the push is unknown."""
 
     async def scene(site):
         first = await pushed_and_killed(site)
@@ -291,33 +295,35 @@
 
 
 def test_a_late_connect_after_a_restart_takes_no_repeat_past_its_window(narrow):
-    class Late:
-        """Connections to the endpoint come up once they are let; those to the platform at once."""
+    class LateConnects:
+        """Connections to the endpoint are established once `go` is set; those to the platform at once."""
 
         def __init__(self, network, far):
-            self.network, self.far, self.asked, self.go = network, far, 0, trio.Event()
+            self.network, self.far, self.requested, self.go = network, far, 0, trio.Event()
 
         def __getattr__(self, name):
             return getattr(self.network, name)
 
         async def connect(self, address):
             if address == self.far:
-                self.asked += 1
-                with trio.CancelScope(shield=True):  # it comes up even though nobody waits for it any more
+                self.requested += 1
+                with trio.CancelScope(shield=True):  # established even though nobody waits for it any more
                     await self.go.wait()
             return await self.network.connect(address)
 
     async def scene(site):
         first = await pushed_and_killed(site)
-        late = Late(site.world.network, site.far.address)
-        site.world = replace(site.world, network=late)
+        network = LateConnects(site.world.network, site.far.address)
+        site.world = replace(site.world, network=network)
         site.clock.set(first + SEC // 2)
         node = await site.start()
-        await site.until(lambda: late.asked)
+        await site.until(lambda: network.requested)
         await site.until(lambda: site.clock.now() > first + SEC)
-        late.go.set()
+        network.go.set()
         await site.until(lambda: not node.ledger.owed and node.owner.endpoints.settled())
-        assert len(site.far.got) == 1 and [one["outcome"] for one in site.platform.notices] == ["given_up"]
+        assert len(site.far.got) == 1 and [notice["outcome"] for notice in site.platform.notices] == [
+            "given_up"
+        ]
 
     narrow.run(scene, silent)
 
@@ -327,18 +333,21 @@
         first = await pushed_and_killed(site)
         site.clock.set(first + SEC // 2)
         assert await pushed_and_killed(site) == first
-        site.clock.set(first + SEC * 95 // 100)  # 0.45 s after the second
+        site.clock.set(first + SEC * 95 // 100)  # 0.45 s after the second push
         node = await site.start()
         await site.until(lambda: not node.ledger.owed)
-        assert len(sent(site)) == 2 and [one["outcome"] for one in site.platform.notices] == ["given_up"]
+        assert len(sent(site)) == 2 and [notice["outcome"] for notice in site.platform.notices] == [
+            "given_up"
+        ]
 
     narrow.run(scene, silent)
 
 
-# ---- what never left
+# ---- pushes that were never sent
 
 
 def far_calls(site):
+    """Requests that reached the endpoint, without those of tests that used the same port before."""
     return [message for message in site.far.got if message[0].startswith("POST /v1/")]
 
 
@@ -370,18 +379,18 @@
 @pytest.mark.parametrize("topic", ["order", "pay", "news"])
 def test_one_that_met_nobody_is_untried_after_a_kill_and_the_outage_is_known(site, topic):
     async def scene(site):
-        with socket.socket() as nobody:  # its port is refused, and nobody else's
-            nobody.bind(("127.0.0.1", 0))
+        with socket.socket() as unused:  # connects to its port are refused, and nobody else gets the port
+            unused.bind(("127.0.0.1", 0))
             node = await site.start()
             await site.until(lambda: node.owner.ready)
-            node.owner.endpoints.book["s-1"] = nobody.getsockname()
+            node.owner.endpoints.book["s-1"] = unused.getsockname()
             assert await site.submit("a", topic, ttl=9000) == 202
             await site.until(lambda: node.counters["pushes_unreachable"] and owed(site)["a"].pushes)
             site.kill()
             await trio.testing.wait_all_tasks_blocked()
         before = owed(site)["a"]
         assert not before.ran
-        site.told["known"] = {"complete": True, "members": []}  # nothing goes, so that it can be looked at
+        site.told["known"] = {"complete": True, "members": []}  # nothing is sent, so the state stays
         node = await site.start()
         await site.until(lambda: node.owner.ready)
         found = node.owner.at.me.notifications["a"]
@@ -397,8 +406,8 @@
 
 def test_calls_that_were_called_back_use_up_no_try(site):
     async def scene(site):
-        with socket.socket() as nobody:
-            nobody.bind(("127.0.0.1", 0))
+        with socket.socket() as unused:
+            unused.bind(("127.0.0.1", 0))
             site.world = replace(site.world, network=Held(site.far))
             node = await site.start()
             calls, network = node.owner.endpoints, site.world.network
@@ -406,7 +415,7 @@
             for times in range(1, 4):
                 await site.until(lambda: network.began == times and calls.out)  # noqa: B023
                 if times == 3:
-                    calls.book["s-1"] = nobody.getsockname()
+                    calls.book["s-1"] = unused.getsockname()
                 calls.recall({"s-1"})
             await site.until(lambda: node.counters["pushes_unreachable"] and owed(site)["a"].pushes)
             assert node.owner.at.me.notifications["a"].pushes == 4 and node.counters["pushes_moot"] == 3
@@ -418,9 +427,9 @@
 
 def test_what_never_left_stays_so_through_a_rewrite_and_what_left_does_too(tmp_path):
     records = [["t", name, "news", 7, 5 * SEC, "", ""] for name in "abcde"] + [
-        ["n", "a", 2],  # met nobody
+        ["n", "a", 2],  # found no endpoint
         ["p", "b", 0, 1, 5],
-        ["n", "b", 0],  # an earlier version's, or one that was turned away
+        ["n", "b", 0],  # an earlier version's, or one that was rejected
         ["p", "c", 1, 1, 5],
         ["p", "d", 0, 1, 5],
         ["n", "d", 1],
@@ -442,51 +451,52 @@
 # ---- killed between any two steps of the ledger
 
 
-class Steps:
-    """The files of a process, with a picture of the ledger kept after each step that changes it."""
+class SnapshottingFiles:
+    """The files of a process; takes a snapshot of the ledger around each step that changes it."""
 
     def __init__(self, files, path):
-        self.files, self.path, self.pictures = files, path, []
+        self.files, self.path, self.snapshots = files, path, []
 
     def __getattr__(self, name):
         return getattr(self.files, name)
 
-    def look(self):
-        picture = self.path.read_bytes() if self.path.exists() else b""
-        if picture not in self.pictures:
-            self.pictures.append(picture)
+    def snapshot(self):
+        content = self.path.read_bytes() if self.path.exists() else b""
+        if content not in self.snapshots:
+            self.snapshots.append(content)
 
     def open(self, path, fresh=False):
         file = self.files.open(path, fresh)
-        self.look()
+        self.snapshot()
         return file
 
     def write(self, file, data):
         size = self.files.write(file, data)
-        self.look()
+        self.snapshot()
         return size
 
     def rename(self, source, target):
-        self.look()
+        self.snapshot()
         self.files.rename(source, target)
-        self.look()
+        self.snapshot()
 
 
 def test_a_kill_between_any_two_steps_ends_each_once_and_runs_once_only_once(site):
-    """What was written is the kernel's, whatever happens to the process, synced or not: a restart finds it.
-    After each write, within it, and before a new file takes the old one's place."""
-    path, clock = site.folder / "state" / "ledger", Set()
-    steps = Steps(site.world.files, path)
+    """The process is killed after each write, within it, and before a new file replaces the old one.
+
+    A restart finds what was written, synced or not: after the write it is in the kernel."""
+    path, clock = site.folder / "state" / "ledger", SettableClock()
+    files = SnapshottingFiles(site.world.files, path)
     answers = {"a1": [http(429), http(200)], "c1": [http(500)], "d1": [None]}
 
     def answer(first, headers, body):
-        left = answers.get(headers["x-trace-id"])
-        return left.pop(0) if left else http(200)
+        remaining = answers.get(headers["x-trace-id"])
+        return remaining.pop(0) if remaining else http(200)
 
     begun = []
 
     async def first(site):
-        site.world = replace(site.world, files=steps, clock=clock)
+        site.world = replace(site.world, files=files, clock=clock)
         node, begun[:] = await site.start(), [clock.now()]
         for name in answers:
             assert await site.submit(name, "order", ttl=9000) == 202
@@ -499,8 +509,8 @@
 
     async def later(site):
         before = Books().load(path)
-        found, over = dict(before.owed), dict(before.over)
-        site.world = replace(site.world, files=steps.files)
+        found, ended = dict(before.owed), dict(before.over)
+        site.world = replace(site.world, files=files.files)
         clock.set(begun[0] + 3 * SEC)
         site.told["known"] = {
             "complete": True,
@@ -509,31 +519,31 @@
         node = await site.start()
         await site.until(lambda: node.owner.ready and not node.ledger.owed)
         ran = {name for name, one in found.items() if one.ran}
-        told = {name for name, one in found.items() if one.notice}
-        # What may have run, or was ended, is told to the platform; all else gets its call, and nothing both.
-        assert sorted(sent(site)) == sorted(found.keys() - ran - told)
-        # Each has one end; the same may be posted again where its 204 takes over 0.1 s (docs/sockets.md).
-        ends = {(one["message"], one["outcome"]) for one in site.platform.notices}
-        assert sorted(name for name, _ in ends) == sorted(ran | told)
-        assert not over.keys() & set(sent(site))
+        noticed = {name for name, one in found.items() if one.notice}
+        # Those that may have run or had ended get an outcome notice, all others a call, and none gets both.
+        assert sorted(sent(site)) == sorted(found.keys() - ran - noticed)
+        # Each has one outcome; a notice may be posted again where its 204 takes over 0.1 s (docs/sockets.md).
+        outcomes = {(notice["message"], notice["outcome"]) for notice in site.platform.notices}
+        assert sorted(name for name, _ in outcomes) == sorted(ran | noticed)
+        assert not ended.keys() & set(sent(site))
         site.kill()
 
-    assert len(steps.pictures) > 8
-    halves = [picture[:-9] for picture in steps.pictures]  # killed within a write
+    assert len(files.snapshots) > 8
+    halves = [content[:-9] for content in files.snapshots]  # killed within a write
     seen = set()
-    for picture in steps.pictures + halves:
-        path.write_bytes(picture)
+    for content in files.snapshots + halves:
+        path.write_bytes(content)
         books = Books().load(path)
         if (state := repr((books.owed, books.over))) in seen:
-            continue  # a restart finds the same
+            continue  # a restart finds the same state as before
         seen.add(state)
-        path.write_bytes(picture)
-        (site.folder / "state" / "ledger.new").write_bytes(picture[:40])  # and within the copy of it
+        path.write_bytes(content)
+        (site.folder / "state" / "ledger.new").write_bytes(content[:40])  # killed while compacting, too
         site.run(later)
 
 
 SENT_AT = 1_796_184_205_223_287_354
-TAKEN = [["t", "a0", "order", 7, 5 * SEC, "", ""], ["t", "a1", "order", 7, 5 * SEC, "", ""]]
+ACCEPTED = [["t", "a0", "order", 7, 5 * SEC, "", ""], ["t", "a1", "order", 7, 5 * SEC, "", ""]]
 AFTER = [["t", "a2", "order", 7, 5 * SEC, "", ""]]
 
 
@@ -550,46 +560,48 @@
 )
 @pytest.mark.parametrize("damage", [10, 0, 34, 48, 120, 255])
 def test_one_damaged_byte_costs_nothing(tmp_path, damage, record):
-    """Wherever it is, also as the end of a record, or where it makes an end."""
-    whole = b"".join(map(line, [*TAKEN, record, *AFTER]))
+    """Also where the damaged byte ends a record, or where the damage is a line feed within one."""
+    whole = b"".join(map(line, [*ACCEPTED, record, *AFTER]))
     (tmp_path / "ledger").write_bytes(whole)
     wanted = Books().load(tmp_path / "ledger")
-    for at in range(len(whole)):
-        if whole[at] != damage:
-            (tmp_path / "ledger").write_bytes(whole[:at] + bytes([damage]) + whole[at + 1 :])
+    for position in range(len(whole)):
+        if whole[position] != damage:
+            (tmp_path / "ledger").write_bytes(whole[:position] + bytes([damage]) + whole[position + 1 :])
             found = Books().load(tmp_path / "ledger")
-            assert (found.owed.keys(), found.over) == (wanted.owed.keys(), wanted.over), at
+            assert (found.owed.keys(), found.over) == (wanted.owed.keys(), wanted.over), position
             for name, one in wanted.owed.items():
-                one.size = found.owed[name].size  # of what was read, with the damage
-                assert found.owed[name] == one, at
+                one.size = found.owed[name].size  # counts the damaged line as it was read
+                assert found.owed[name] == one, position
 
 
-def spoilt(record):
+def beyond_repair(record):
+    """The line of a record with more than one byte damaged."""
     return line(record)[:11] + b"????" + line(record)[15:]
 
 
 @pytest.mark.parametrize("topic", ["order", "pay", "news"])
 @pytest.mark.parametrize("what", ["p", "x"])
 def test_a_record_that_is_lost_makes_nothing_run_twice(site, what, topic):
-    """More of it is damaged than can be mended: which one was pushed, or taken back, nobody knows; so what
-    was taken on before may have run, and what came since, or is known to have run, is as it was."""
+    """A record is damaged beyond repair, so which notification was pushed or taken back is unknown.
+
+    Those accepted before it may have run; those accepted later, or known to have run, are unaffected."""
 
     async def scene(site):
         site.config()
         now = CLOCK.now()
-        taken = [["t", name, topic, 7, now + 9 * SEC, name, ""] for name in ("a0", "a1", "a2")]
+        accepted = [["t", name, topic, 7, now + 9 * SEC, name, ""] for name in ("a0", "a1", "a2")]
         lost = ["p", "a1", 0, 0, now - SEC] if what == "p" else ["x", "a1"]
-        lines = [line(taken[0]), line(taken[1]), spoilt(lost), line(taken[2])]
+        lines = [line(accepted[0]), line(accepted[1]), beyond_repair(lost), line(accepted[2])]
         (site.folder / "state" / "ledger").write_bytes(b"".join(lines))
-        for _ in range(2):  # what is in doubt stays so through a rewrite
+        for _ in range(2):  # "may have run" is kept when the file is rewritten
             Ledger(site.folder / "state", 1 << 20).close()
         node = await site.start()
         assert not node.ledger.damaged
         await site.until(lambda: node.owner.ready and not node.ledger.owed)
-        doubted = [] if topic == "news" else ["a0", "a1"]
-        assert sorted(sent(site)) == sorted({"a0", "a1", "a2"} - set(doubted))
-        assert sorted(one["message"] for one in site.platform.notices) == doubted
-        assert {one["outcome"] for one in site.platform.notices} <= {"given_up"}
+        abandoned = [] if topic == "news" else ["a0", "a1"]
+        assert sorted(sent(site)) == sorted({"a0", "a1", "a2"} - set(abandoned))
+        assert sorted(notice["message"] for notice in site.platform.notices) == abandoned
+        assert {notice["outcome"] for notice in site.platform.notices} <= {"given_up"}
 
     site.run(scene)
 
@@ -597,24 +609,26 @@
 def test_a_lost_record_leaves_what_is_known_as_it_is(tmp_path):
     known = ["p", "a0", 2, 1, SENT_AT]
     (tmp_path / "ledger").write_bytes(
-        b"".join(map(line, [*TAKEN, known])) + spoilt(["p", "a1", 0, 0, 5]) + b"".join(map(line, AFTER))
+        b"".join(map(line, [*ACCEPTED, known]))
+        + beyond_repair(["p", "a1", 0, 0, 5])
+        + b"".join(map(line, AFTER))
     )
     found = Books().load(tmp_path / "ledger")
     assert found.damaged == 1 and found.owed["a0"].ran == {2: (1, SENT_AT)} and not found.owed["a2"].ran
-    assert min(at for _, at in found.owed["a1"].ran.values()) == 1 and not found.owed["a1"].pushes
+    assert min(sent_at for _, sent_at in found.owed["a1"].ran.values()) == 1 and not found.owed["a1"].pushes
 
 
 @pytest.mark.parametrize("left", [1, 9, 30])
 def test_the_record_half_written_at_a_kill_leaves_the_others_untried(tmp_path, left):
-    """What it was to tell of has not left: the write comes first."""
+    """The push that it describes was not sent, since the record is written first."""
     torn = line(["p", "a1", 0, 1, SENT_AT])[:-left]
-    (tmp_path / "ledger").write_bytes(b"".join(map(line, TAKEN)) + torn)
+    (tmp_path / "ledger").write_bytes(b"".join(map(line, ACCEPTED)) + torn)
     found = Books().load(tmp_path / "ledger").owed
     assert not found["a0"].ran and bool(found["a1"].ran) == (left == 1)
 
 
 def test_a_file_that_is_damaged_throughout_is_read_in_time(tmp_path, monkeypatch):
-    """Byte by byte for so much of it alone."""
+    """The byte-by-byte repair is limited to a part of the file."""
     tried, repaired = [], ledgers.repaired
 
     def counted(raw):
@@ -622,21 +636,19 @@
         return repaired(raw)
 
     monkeypatch.setattr(ledgers, "repaired", counted)
-    (tmp_path / "ledger").write_bytes(b"".join(map(line, TAKEN)) + (b"x" * 1000 + b"\n") * 2000)
+    (tmp_path / "ledger").write_bytes(b"".join(map(line, ACCEPTED)) + (b"x" * 1000 + b"\n") * 2000)
     assert Books().load(tmp_path / "ledger").damaged == 2000
-    assert (
-        sum(tried) < 6 * ledgers.MAX_REPAIR_SIZE
-    )  # each line alone, with an end before it, and with the next
+    assert sum(tried) < 6 * ledgers.MAX_REPAIR_SIZE  # each line alone, after a line feed, and with the next
 
 
 @pytest.mark.parametrize("damage", [b"\n", b"x", b"0"])
 def test_a_damaged_byte_costs_its_record_alone(tmp_path, damage):
-    """Also where it is the one that ends a record."""
+    """Also where it is the line feed that ends the record."""
     names = ["a0", "a1", "a2"]
     whole = b"".join(line(["t", name, "news", 7, 5 * SEC, "", ""]) for name in names)
-    for at in range(len(whole)):
-        if whole[at : at + 1] == damage:
+    for position in range(len(whole)):
+        if whole[position : position + 1] == damage:
             continue
-        (tmp_path / "ledger").write_bytes(whole[:at] + damage + whole[at + 1 :])
-        left = Books().load(tmp_path / "ledger").owed
-        assert set(left) >= set(names) - {names[3 * at // len(whole)]}, at
+        (tmp_path / "ledger").write_bytes(whole[:position] + damage + whole[position + 1 :])
+        found = Books().load(tmp_path / "ledger").owed
+        assert set(found) >= set(names) - {names[3 * position // len(whole)]}, position
