--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,8 +1,7 @@
-"""Calls to endpoints at the instant at which two things meet, each with the one outcome that docs/sockets.md,
-"Calls that end as something else happens", tells of.
+"""Races of a call to an endpoint with another event, each with the one outcome that docs/sockets.md states.
 
-Every crossing is forced: the peer holds its bytes until the node is at the instant, or a hook at the seam
-lets the other side act before the node goes on."""
+Each test forces one order of events: the peer holds its bytes back until the node has reached a given point,
+or a patched method lets the other side act before the node continues."""
 
 import errno
 import json
@@ -27,20 +26,20 @@
 from juniperlanding.standins.peers import http, member, read_message
 
 KINDS = {"news": "repeatable", "pay": "collapsible", "order": "once-only"}
-OFTEN = WIRE | {"family_info": WIRE["family_info"] | {"batch_by_kind": [5, 5]}}
+BATCHED = WIRE | {"family_info": WIRE["family_info"] | {"batch_by_kind": [5, 5]}}
 
 
-def mine(message):
-    """Whether it is a call of ours; callers of another test that had its port are passed over."""
+def is_call(message):
+    """Whether it is a call; requests of other kinds come from a test that used the same port before."""
     return message[0].startswith("POST /v1/")
 
 
 def got(far):
-    return [message for message in far.got if mine(message)]
+    return [message for message in far.got if is_call(message)]
 
 
 class Peer:
-    """An endpoint that says what the test has it say; `calls` has the socket that each call came by."""
+    """An endpoint controlled by the test; `calls` has the socket of each call."""
 
     def __init__(self):
         self.calls, self.got, self.answer = [], [], None
@@ -54,16 +53,16 @@
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             buffer = bytearray()
             while message := await read_message(stream, buffer):
-                if mine(message):
+                if is_call(message):
                     self.got.append(message)
                     self.calls.append(stream.socket)
                 if self.answer:
                     await stream.send_all(self.answer)
 
     def say(self, call, data):
-        """Bytes that lie in the node's kernel as this returns; no task of the node has run since."""
+        """Sends data and returns once it is in the node's socket; no task of the node runs in between."""
         self.calls[-1]._sock.send(data)
-        while call.line.sock.peek() is None:  # loopback: it is there at once
+        while call.line.sock.peek() is None:  # loopback: it arrives at once
             pass
 
     def reset(self):
@@ -72,15 +71,15 @@
         sock.close()
 
 
-def time_is_up(call):
-    call.scope.cancel()  # as the deadline does, with no look at the sockets in between
+def time_out(call):
+    call.scope.cancel()  # as the deadline does, without polling the sockets in between
 
 
-async def out(site, calls, many=1):
-    """A call that is written whole, and of whose answer nothing came yet."""
+async def written_call(site, calls, count=1):
+    """A call that is fully written, and of whose response nothing has arrived yet."""
     site.peer = await Peer().open(site.nursery)
     calls.book["s-1"] = site.peer.address
-    calls.start(site.nursery, "s-1", [send("ab"[at], 8 * SEC) for at in range(many)])
+    calls.start(site.nursery, "s-1", [send("ab"[index], 8 * SEC) for index in range(count)])
     await site.until(lambda: site.peer.calls)
     (call,) = set(calls.out.values())
     await site.until(lambda: call.written)
@@ -93,11 +92,11 @@
 HALF_A_BODY = http(200, BOTH)[:-9]
 
 
-# ---- what lies unread, or came in part, as a call is ended
+# ---- a response that is unread, or arrived in part, when a call is ended
 
 
 @pytest.mark.parametrize(
-    "many, unread, time_out, cancelled",
+    "count, unread, on_time_out, on_cancel",
     [
         (1, http(200), "delivered", "delivered"),
         (1, HALF_A_HEAD, "delivered", "delivered"),
@@ -112,30 +111,30 @@
 )
 @pytest.mark.parametrize("how", ["time-out", "cancel"])
 def test_what_lies_unread_as_a_call_is_ended_counts_as_far_as_it_came(
-    site, monkeypatch, how, many, unread, time_out, cancelled
+    site, monkeypatch, how, count, unread, on_time_out, on_cancel
 ):
-    """What lies there is read, and nothing that is still to come is waited for."""
+    """What has arrived is read; the rest is not waited for."""
     outcomes = []
     monkeypatch.setattr(lines, "ANSWER_WITHIN", 60)
 
     async def scene(site):
         calls = await endpoints(site, outcomes)
-        call = await out(site, calls, many)
+        call = await written_call(site, calls, count)
         site.peer.say(call, unread)
         if how == "cancel":
-            for name in "ab"[:many]:
+            for name in "ab"[:count]:
                 calls.cancel(name, 0)
         else:
-            time_is_up(call)
-        await site.until(lambda: len(outcomes) == many)
-        assert {told[2] for told in outcomes} == {cancelled if how == "cancel" else time_out}
+            time_out(call)
+        await site.until(lambda: len(outcomes) == count)
+        assert {outcome[2] for outcome in outcomes} == {on_cancel if how == "cancel" else on_time_out}
         assert not calls.out
 
     site.run(scene)
 
 
 @pytest.mark.parametrize(
-    "many, came, ending",
+    "count, arrived, ending",
     [
         (1, HALF_A_HEAD, "delivered"),
         (1, HALF_A_LINE, "timeout"),
@@ -145,64 +144,67 @@
         (2, HALF_A_BODY, "timeout"),
     ],
 )
-def test_an_answer_half_read_at_the_time_out_counts_as_far_as_it_came(site, monkeypatch, many, came, ending):
+def test_an_answer_half_read_at_the_time_out_counts_as_far_as_it_came(
+    site, monkeypatch, count, arrived, ending
+):
     outcomes = []
     monkeypatch.setattr(lines, "ANSWER_WITHIN", 60)
 
     async def scene(site):
         calls = await endpoints(site, outcomes)
-        call = await out(site, calls, many)
-        site.peer.say(call, came)
+        call = await written_call(site, calls, count)
+        site.peer.say(call, arrived)
         await site.until(lambda: call.line.sock.peek() is None)  # all of it was read
         await trio.testing.wait_all_tasks_blocked()
-        time_is_up(call)
-        await site.until(lambda: len(outcomes) == many and calls.connection_limit.value == 8)
-        assert {told[2] for told in outcomes} == {ending} and not calls.out
+        time_out(call)
+        await site.until(lambda: len(outcomes) == count and calls.connection_limit.value == 8)
+        assert {outcome[2] for outcome in outcomes} == {ending} and not calls.out
 
     site.run(scene)
 
 
-@pytest.mark.parametrize("many, ending", [(1, "delivered"), (2, "timeout")])
+@pytest.mark.parametrize("count, ending", [(1, "delivered"), (2, "timeout")])
 @pytest.mark.parametrize("before", [b"", HALF_A_LINE])
 def test_a_line_that_gets_whole_as_its_connection_is_closed_still_counts(
-    site, monkeypatch, many, ending, before
+    site, monkeypatch, count, ending, before
 ):
-    outcomes, whole, late = [], Line.arrived, []
+    outcomes, original, late = [], Line.arrived, []
 
     def arrived(line):
         if late:
             site.peer.say(*late.pop())
-        return whole(line)
+        return original(line)
 
     async def scene(site):
         calls = await endpoints(site, outcomes)
-        call = await out(site, calls, many)
+        call = await written_call(site, calls, count)
         if before:
             site.peer.say(call, before)
             await site.until(lambda: call.line.head == before)
         late.append((call, HALF_A_HEAD[len(before) :]))
         monkeypatch.setattr(Line, "arrived", arrived)
-        time_is_up(call)
-        await site.until(lambda: len(outcomes) == many)
-        assert {told[2] for told in outcomes} == {ending} and not late
+        time_out(call)
+        await site.until(lambda: len(outcomes) == count)
+        assert {outcome[2] for outcome in outcomes} == {ending} and not late
 
     site.run(scene)
 
 
-# ---- a connection that comes up in the instant in which its call is called off
+# ---- a connection that is established just as its call is cancelled
 
 
-@pytest.mark.parametrize("many", [1, 2])
+@pytest.mark.parametrize("count", [1, 2])
 @pytest.mark.parametrize("first", ["up", "off"])
 @pytest.mark.parametrize("how", ["cancel", "time-out", "recall"])
-def test_a_connection_that_comes_up_as_its_call_is_called_off_carries_nothing(site, how, first, many):
-    """Both in one turn of the loop, in either order: nothing leaves; a time-out alone is the endpoint's."""
+def test_a_connection_that_comes_up_as_its_call_is_called_off_carries_nothing(site, how, first, count):
+    """Both in one iteration of the event loop, in either order: nothing is sent, and only a time-out counts
+    against the endpoint."""
     outcomes = []
 
     async def scene(site):
         calls = await endpoints(site, outcomes)
         calls.network = Held(site.far)
-        calls.start(site.nursery, "s-1", [send("ab"[at], 8 * SEC) for at in range(many)])
+        calls.start(site.nursery, "s-1", [send("ab"[index], 8 * SEC) for index in range(count)])
         await site.until(lambda: calls.network.began)
         (call,) = set(calls.out.values())
 
@@ -210,24 +212,24 @@
             if how == "recall":
                 calls.recall({"s-1"})
             elif how == "cancel":
-                for name in "ab"[:many]:
+                for name in "ab"[:count]:
                     calls.cancel(name, 0)
             else:
-                time_is_up(call)
+                time_out(call)
 
         for act in (calls.network.go.set, off) if first == "up" else (off, calls.network.go.set):
             act()
-        await site.until(lambda: len(outcomes) == many and calls.connection_limit.value == 8)
+        await site.until(lambda: len(outcomes) == count and calls.connection_limit.value == 8)
         await trio.testing.wait_all_tasks_blocked()
-        assert {told[2] for told in outcomes} == {"unreachable" if how == "time-out" else "moot"}
+        assert {outcome[2] for outcome in outcomes} == {"unreachable" if how == "time-out" else "moot"}
         assert not got(site.far) and not calls.out
 
     site.run(scene)
 
 
-def called_off(monkeypatch, calls, how):
-    """A call that ends in the moment in which all but its last byte is out."""
-    look = Line.waiting
+def end_before_last_byte(monkeypatch, calls, how):
+    """Has a call end when all of its request but the last byte is written."""
+    original = Line.waiting
 
     def waiting(line):
         if calls.out:
@@ -238,19 +240,19 @@
                 calls.recall({"s-1"})
             else:
                 call.scope.cancel()
-        return look(line)
+        return original(line)
 
     monkeypatch.setattr(Line, "waiting", waiting)
 
 
 @pytest.mark.parametrize("how", ["cancel", "recall", "time-out"])
 def test_a_call_whose_last_byte_is_held_back_has_not_run_once_it_is_called_off(site, monkeypatch, how):
-    """All but the last byte is out: the end comes after the look at the connection, before that byte."""
+    """The end comes after the check of the connection and before the last byte."""
     outcomes = []
 
     async def scene(site):
         calls = await endpoints(site, outcomes)
-        called_off(monkeypatch, calls, how)
+        end_before_last_byte(monkeypatch, calls, how)
         calls.start(site.nursery, "s-1", [send("a", 8 * SEC)])
         await site.until(lambda: outcomes and calls.connection_limit.value == 8)
         await trio.testing.wait_all_tasks_blocked()
@@ -260,11 +262,11 @@
     site.run(scene)
 
 
-# ---- what becomes of each kind
+# ---- outcomes for each kind of topic type
 
 
 def endless(site, call):
-    """A 500 whose body never ends: the peer sends for as long as it is let."""
+    """A 500 whose body never ends."""
 
     async def flood(sock):
         with suppress(OSError, trio.ClosedResourceError):
@@ -280,6 +282,8 @@
 
 
 def says(data, then=None):
+    """A peer that sends data; `then` is called with the call."""
+
     def act(site, call):
         site.peer.say(call, data)
         if then:
@@ -292,13 +296,13 @@
     site.peer.reset()
 
 
-CROSSINGS = {  # what the peer does with the first call; what is told; whether it may have run
+RACES = {  # what the peer does with the first call; the outcome of that push; whether it may have run
     "endless": (endless, "reset", True),
     "endless, its line with 200 whole": (endless_200, "delivered", True),
-    "half a line at the time-out": (says(HALF_A_LINE, time_is_up), "timeout", True),
-    "a line with 200 at the time-out": (says(HALF_A_HEAD, time_is_up), "delivered", True),
-    "200 unread at the time-out": (says(http(200), time_is_up), "delivered", True),
-    "429 unread at the time-out": (says(http(429), time_is_up), "throttled", False),
+    "half a line at the time-out": (says(HALF_A_LINE, time_out), "timeout", True),
+    "a line with 200 at the time-out": (says(HALF_A_HEAD, time_out), "delivered", True),
+    "200 unread at the time-out": (says(http(200), time_out), "delivered", True),
+    "429 unread at the time-out": (says(http(429), time_out), "throttled", False),
     "a head, then nothing": (says(http(500, b"hello")[:-5]), "reset", True),
     "a head that says never ran, then nothing": (says(http(429, b"hello")[:-5]), "reset", True),
     "a head with 200, then nothing": (says(http(200, b"hello")[:-5]), "delivered", True),
@@ -307,9 +311,9 @@
 
 
 @pytest.mark.parametrize("topic", KINDS)
-@pytest.mark.parametrize("crossing", CROSSINGS)
-def test_each_crossing_has_one_outcome_for_each_kind(site, monkeypatch, crossing, topic):
-    act, told, ran = CROSSINGS[crossing]
+@pytest.mark.parametrize("race", RACES)
+def test_each_race_has_one_outcome_for_each_kind(site, monkeypatch, race, topic):
+    act, outcome, ran = RACES[race]
     monkeypatch.setattr(lines, "ANSWER_WITHIN", 0.05)
 
     async def scene(site):
@@ -322,19 +326,21 @@
         site.peer.answer = http(200)
         act(site, call)
         await site.until(lambda: not node.ledger.owed)
-        assert node.counters[f"pushes_{told}"] >= 1
-        given_up = ran and told != "delivered" and topic == "order"
-        assert len(site.peer.got) == (1 if told == "delivered" or given_up else 2)
+        assert node.counters[f"pushes_{outcome}"] >= 1
+        given_up = ran and outcome != "delivered" and topic == "order"
+        assert len(site.peer.got) == (1 if outcome == "delivered" or given_up else 2)
         assert {
-            (told["message"], told["outcome"]) for told in site.platform.notices if told["message"] == "a"
-        } == ({("a", "given_up")} if given_up else set())  # posted twice does no harm
+            (notice["message"], notice["outcome"])
+            for notice in site.platform.notices
+            if notice["message"] == "a"
+        } == ({("a", "given_up")} if given_up else set())  # a notice may be posted twice
 
     site.run(scene)
 
 
-# ---- the process ends meanwhile
+# ---- the process ends during a call
 
-ENDS = {  # what came of the answer as the process ends; whether it was delivered
+RESPONSES = {  # what has arrived of the response as the process ends; whether that means delivered
     "nothing": (b"", False),
     "half a line": (HALF_A_LINE, False),
     "a line with 200": (HALF_A_HEAD, True),
@@ -346,11 +352,11 @@
 
 @pytest.mark.parametrize("topic", KINDS)
 @pytest.mark.parametrize("read", [True, False])
-@pytest.mark.parametrize("came", ENDS)
+@pytest.mark.parametrize("response", RESPONSES)
 def test_a_call_under_way_as_the_process_ends_has_one_outcome_for_each_kind(
-    site, monkeypatch, came, read, topic
+    site, monkeypatch, response, read, topic
 ):
-    data, delivered = ENDS[came]
+    data, delivered = RESPONSES[response]
 
     async def scene(site):
         site.far = site.peer = await Peer().open(site.nursery)
@@ -379,8 +385,10 @@
         given_up = not delivered and topic == "order"
         assert len(site.peer.got) == (1 if delivered or given_up else 2)
         assert {
-            (told["message"], told["outcome"]) for told in site.platform.notices if told["message"] == "a"
-        } == ({("a", "given_up")} if given_up else set())  # posted twice does no harm
+            (notice["message"], notice["outcome"])
+            for notice in site.platform.notices
+            if notice["message"] == "a"
+        } == ({("a", "given_up")} if given_up else set())  # a notice may be posted twice
 
     site.run(scene)
 
@@ -388,7 +396,7 @@
 @pytest.mark.parametrize("topic", KINDS)
 @pytest.mark.parametrize("how", ["stopped", "killed"])
 def test_a_call_that_still_connects_as_the_process_ends_is_made_by_the_next(site, how, topic):
-    """Whatever the kind: what never left is not on file as begun."""
+    """A call that was never sent is not in the ledger, whatever the topic type."""
 
     async def scene(site):
         world = site.world
@@ -412,7 +420,7 @@
     site.run(scene)
 
 
-# ---- killed at each instant of a call: `p` is on file right before its last byte, and no sooner
+# ---- killed at each point of a call: its `p` record is written just before its last byte, and no sooner
 
 
 def untried(site, name):
@@ -421,20 +429,20 @@
 
 
 def noticed(site, name):
-    """Outcomes that were told; the same one posted twice does no harm."""
-    return {told["outcome"] for told in site.platform.notices if told["message"] == name}
+    """Outcomes in notices, of which each may be posted twice."""
+    return {notice["outcome"] for notice in site.platform.notices if notice["message"] == name}
 
 
 async def killed(site):
-    """SIGKILL in this instant: what the tasks do on their way out reaches no file and no socket."""
+    """Simulates SIGKILL: what the tasks do as they are cancelled reaches neither the ledger nor a socket."""
     path = site.folder / "state" / "ledger"
-    picture = path.read_bytes()
+    content = path.read_bytes()
     for call in set(site.node.owner.endpoints.out.values()):
         if call.line:
             call.line.sock.abort()
     site.kill()
     await trio.testing.wait_all_tasks_blocked()
-    path.write_bytes(picture)
+    path.write_bytes(content)
 
 
 async def next_process(site):
@@ -463,19 +471,19 @@
 @pytest.mark.parametrize("topic", KINDS)
 @pytest.mark.parametrize("kept", [True, False])
 def test_a_kill_right_behind_the_yes_finds_it_untried(site, monkeypatch, kept, topic):
-    """Over a new connection or a kept one: all but the last byte is out, and nothing has run."""
-    look, instant = Line.waiting, trio.Event()
+    """Over a new connection or a kept one: all but the last byte is written, so nothing has run."""
+    original, is_killed = Line.waiting, trio.Event()
 
     def waiting(line):
-        if instant.is_set():
-            return look(line)
+        if is_killed.is_set():
+            return original(line)
         for call in site.node.owner.endpoints.out.values():
             if call.line is line and not call.written and call.sends[0].id == "a":
-                site.picture = (site.folder / "state" / "ledger").read_bytes()
+                site.content = (site.folder / "state" / "ledger").read_bytes()
                 line.sock.abort()
                 site.kill()
-                instant.set()
-        return look(line)
+                is_killed.set()
+        return original(line)
 
     async def scene(site):
         await site.start()
@@ -486,9 +494,9 @@
         monkeypatch.setattr(Line, "waiting", waiting)
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError, TypeError):
             await site.submit("a", topic, ttl=9000)
-        await instant.wait()
+        await is_killed.wait()
         await trio.testing.wait_all_tasks_blocked()
-        (site.folder / "state" / "ledger").write_bytes(site.picture)
+        (site.folder / "state" / "ledger").write_bytes(site.content)
         assert untried(site, "a") and len(got(site.far)) == kept
         await next_process(site)
         assert len(got(site.far)) == 1 + kept and not noticed(site, "a")
@@ -499,25 +507,25 @@
 @pytest.mark.parametrize("topic", KINDS)
 @pytest.mark.parametrize("byte", ["before", "after"])
 def test_a_kill_once_it_is_on_file_has_one_end_and_no_second_run(site, monkeypatch, byte, topic):
-    """On file and not yet out, or out and not yet told: for the ledger it may have run."""
+    """In the ledger but not sent, or sent but without a reported outcome: it may have run."""
 
     async def scene(site):
         site.far = site.peer = await Peer().open(site.nursery)
         node = await site.start()
-        instant, write = trio.Event(), Line.write
+        reached, write = trio.Event(), Line.write
 
-        async def last(line, parts):
-            if not instant.is_set() and len(parts) == 1 and len(parts[0]) == 1:
+        async def write_last_byte(line, parts):
+            if not reached.is_set() and len(parts) == 1 and len(parts[0]) == 1:
                 if byte == "after":
                     await write(line, parts)
                     await site.until(lambda: site.peer.got)
-                instant.set()
+                reached.set()
                 await trio.sleep_forever()
             await write(line, parts)
 
-        monkeypatch.setattr(Line, "write", last)
+        monkeypatch.setattr(Line, "write", write_last_byte)
         assert await site.submit("a", topic, ttl=9000) == 202
-        await instant.wait()
+        await reached.wait()
         assert list(owed(site)["a"].ran) == [0] and node.ledger.owed["a"].pushes == 1
         await killed(site)
         site.peer.answer = http(200)
@@ -529,18 +537,18 @@
     site.run(scene)
 
 
-class Failing:
-    """The files of a process, whose writes fail while `why` is set."""
+class FailingFiles:
+    """The files of a process, whose writes fail with the errno `error` while it is set."""
 
     def __init__(self, files):
-        self.files, self.why = files, 0
+        self.files, self.error = files, 0
 
     def __getattr__(self, name):
         return getattr(self.files, name)
 
     def write(self, file, data):
-        if self.why:
-            raise OSError(self.why, os.strerror(self.why))
+        if self.error:
+            raise OSError(self.error, os.strerror(self.error))
         return self.files.write(file, data)
 
 
@@ -549,11 +557,11 @@
 def test_a_disk_that_fails_as_the_connection_comes_up_lets_nothing_leave(site, then, topic):
     async def scene(site):
         world = site.world
-        site.world = replace(world, network=Held(site.far), files=Failing(world.files))
+        site.world = replace(world, network=Held(site.far), files=FailingFiles(world.files))
         node = await site.start()
         assert await site.submit("a", topic, ttl=9000) == 202
         await site.until(lambda: site.world.network.began)
-        site.world.files.why = errno.EIO
+        site.world.files.error = errno.EIO
         site.world.network.go.set()
         await site.until(lambda: node.counters["pushes_moot"])
         assert not got(site.far) and node.owner.stuck and untried(site, "a")
@@ -562,7 +570,7 @@
             await killed(site)
             site.world = world
             node = await site.start()
-        site.world.files.why = 0
+        site.world.files.error = 0
         await site.until(lambda: node.owner.ready and not node.ledger.owed)
         assert len(got(site.far)) == 1 and not noticed(site, "a")
         assert node.counters["pushes_delivered"] == 1 and not node.counters["faults"]
@@ -610,7 +618,7 @@
     async def scene(site):
         calls = await endpoints(site, outcomes)
         calls.may_leave = lambda endpoint, sends: asked.append(sends)
-        called_off(monkeypatch, calls, how)
+        end_before_last_byte(monkeypatch, calls, how)
         calls.start(site.nursery, "s-1", [send("a", 8 * SEC)])
         await site.until(lambda: outcomes and calls.connection_limit.value == 8)
         assert not asked and not got(site.far)
@@ -622,27 +630,27 @@
 def test_one_whose_time_ends_while_it_connects_was_never_on_file(site, topic):
     async def scene(site):
         site.world = replace(site.world, network=Held(site.far))
-        files, seen = site.world.files, []
+        files, written = site.world.files, []
 
-        class Seen(Failing):
+        class RecordingFiles(FailingFiles):
             def write(self, file, data):
-                seen.append(bytes(data))
+                written.append(bytes(data))
                 return files.write(file, data)
 
-        site.world = replace(site.world, files=Seen(files))
+        site.world = replace(site.world, files=RecordingFiles(files))
         node = await site.start()
         assert await site.submit("a", topic, ttl=900) == 202
         await site.until(lambda: noticed(site, "a"))
         site.world.network.go.set()
         await site.until(lambda: not node.ledger.owed and node.owner.endpoints.settled())
         assert not got(site.far) and noticed(site, "a") == {"handed_back"}
-        assert b'["t","a"' in b"".join(seen) and b'["p",' not in b"".join(seen)
+        assert b'["t","a"' in b"".join(written) and b'["p",' not in b"".join(written)
 
     site.run(scene)
 
 
 def test_of_a_call_of_several_each_is_untried_while_it_connects_and_on_file_once_it_leaves(site):
-    site.wire = OFTEN
+    site.wire = BATCHED
     runs, sizes = [], []
 
     def answer(first, headers, body):
@@ -655,14 +663,14 @@
 
     async def scene(site):
         world = site.world
-        for life in range(2):
+        for process in range(2):
             site.world = replace(world, network=Held(site.far))
             await site.start()
-            if not life:
+            if not process:
                 for name in "xabc":
                     assert await site.submit(name, "order", ttl=9000) == 202
             await site.until(lambda: len(site.node.owner.endpoints.out) == 4)
-            if life:  # all restored in one round, and untried: they share a call
+            if process:  # all are restored in one iteration, and untried: they share a call
                 assert len(set(site.node.owner.endpoints.out.values())) < 4
             await killed(site)
             assert all(untried(site, name) for name in "xabc")
@@ -673,7 +681,7 @@
     site.run(scene, answer)
 
 
-# ---- the process ends with more calls out than the queue has room for
+# ---- the process ends with more calls in progress than its event queue holds
 
 
 @pytest.mark.parametrize("how", ["stopped", "ended at once"])
@@ -694,7 +702,7 @@
         site.scope.cancel()
         await trio.testing.wait_all_tasks_blocked()
         stuck = owner.queue.statistics().tasks_waiting_send
-        while owner.queue.statistics().tasks_waiting_send:  # else this test would never end either
+        while owner.queue.statistics().tasks_waiting_send:  # or this test would not end either
             owner.inbox.receive_nowait()
         assert not stuck and not owner.endpoints.out
         node.release()
