--- a/juniperlanding/emulator/mutants.py
+++ b/juniperlanding/emulator/mutants.py
@@ -103,14 +103,14 @@
     """A notice that the platform did not take is not posted again."""
     while True:
         while self.due:
-            due = self.next()
+            due = self.next_batch()
             status, posted = await self.post()
             if status == 204:
-                await self.settle(posted)
+                await self.confirm(posted)
             for ntf_id in due:
                 self.due.pop(ntf_id, None)
-        self.news = type(self.news)()
-        await self.news.wait()
+        self.added = type(self.added)()
+        await self.added.wait()
 
 
 @mutant(choice.Dispatcher, "give_up")
@@ -123,14 +123,14 @@
 GIVE_UP = choice.Dispatcher.give_up
 
 
-@mutant(owner.Owner, "after")
-def some_timers_lost(self, at, what, *fields):
+@mutant(owner.Owner, "call_at")
+def some_timers_lost(self, at, function, *fields):
     """One host timer in four is forgotten."""
     self.sequence += 1
     if self.sequence % 4 and at:
         import heapq
 
-        heapq.heappush(self.timers, (at, self.sequence, what, *fields))
+        heapq.heappush(self.timers, (at, self.sequence, function, *fields))
 
 
 @mutant(choice.Pick, "back")
@@ -152,8 +152,8 @@
     return choice.PASS if push.options else choice.KEEP
 
 
-@mutant(owner.Owner, "overdue")
-def ids_remembered_for_ever(self, ntf_id, looked=False):
+@mutant(owner.Owner, "check_after_ttl")
+def ids_remembered_for_ever(self, ntf_id, had_turn=False):
     """The ids of what is over are never let go."""
 
 
--- a/juniperlanding/net/counters.py
+++ b/juniperlanding/net/counters.py
@@ -1,36 +1,36 @@
-"""What the dispatcher took in, sent and answered, by name; the only record of counts (docs/door.md).
+"""Counts of what the dispatcher accepted, sent and answered, by name; there are no others (docs/door.md).
 
-Names that begin with `svc.` are the operators'.  The door, `/_counters` and the log read here."""
+Names that begin with `svc.` are the operators'. The admin port, `/_counters` and the log read them here."""
 
 from collections import Counter
 
 SUCCEEDED, DECLINED, ABORTED = "succeeded", "declined", "aborted"
 FORWARDS = "svc.forwards"
 SVC = "svc."
-VIOLATIONS = "svc.violations"  # rules broken; stands among the operators' figures once there is one
+VIOLATIONS = "svc.violations"  # rules broken; one of the operators' figures once there has been one
 
 
-def result(topic, how):
-    return f"svc.results.{topic}.{how}"
+def result_name(topic, result):
+    return f"svc.results.{topic}.{result}"
 
 
 class Counters(Counter):
-    """Counts since the start of the process; a topic type's results stand at 0 from the start."""
+    """Counts since the start of the process; the results of each topic type begin at 0."""
 
     def __init__(self, topics=()):
-        hows = SUCCEEDED, DECLINED, ABORTED
-        super().__init__({result(topic, how): 0 for topic in topics for how in hows})
+        results = SUCCEEDED, DECLINED, ABORTED
+        super().__init__({result_name(topic, result): 0 for topic in topics for result in results})
         self[FORWARDS] = 0
 
-    def ended(self, topic, how):
-        self[result(topic, how)] += 1
+    def ended(self, topic, result):
+        self[result_name(topic, result)] += 1
 
     def unserved(self, topic):
-        """How many of a topic type ended otherwise than by a delivery in time."""
-        return self[result(topic, DECLINED)] + self[result(topic, ABORTED)]
+        """How many notifications of a topic type ended without a delivery in time."""
+        return self[result_name(topic, DECLINED)] + self[result_name(topic, ABORTED)]
 
     def figures(self, **gauges):
-        """The operators' lines: `name:value|c` for a count, `|g` for a gauge."""
+        """Lines in StatsD format for the operators: `name:value|c` for a count, `|g` for a gauge."""
         counts = [f"{name}:{self[name]}|c" for name in sorted(self) if name.startswith(SVC)]
         return counts + [f"{SVC}{name}:{value}|g" for name, value in gauges.items()]
 
--- a/juniperlanding/net/notices.py
+++ b/juniperlanding/net/notices.py
@@ -1,4 +1,4 @@
-"""Ends without delivery, posted to the platform until it has taken each of them."""
+"""Posts outcome notices, which report ends without delivery, until the platform has accepted each of them."""
 
 import json
 
@@ -8,28 +8,39 @@
 from juniperlanding.net import protocol
 from juniperlanding.net.line import connect
 
-TOGETHER = 64  # notices in a post
-PATIENCE, MOST_PATIENCE, PAUSE = 0.15, 2.4, 0.05  # seconds for an answer, doubled each time; between tries
-BRIEF = 0.1  # seconds without an answer until the same goes over a new connection too, each time anew
+MAX_BATCH = 64  # notices in a post
+ANSWER_TIMEOUT = 0.15  # seconds for an answer, doubled after each post without one
+MAX_ANSWER_TIMEOUT = 2.4
+RETRY_PAUSE = 0.05  # seconds between two posts of which the first failed
+HEDGE_AFTER = 0.1  # seconds without an answer until the same is posted over another new connection, too
 
 
 class Notices:
-    def __init__(self, network, address, taken, counters, log):
+    """The notices that are due, and the task that posts them."""
+
+    def __init__(self, network, address, on_posted, counters, log):
         self.network = network
-        self.address, self.taken, self.counters, self.log = address, taken, counters, log
-        self.due, self.news, self.line = {}, trio.Event(), None  # due: id -> (outcome, retry), oldest first
-        self.together, self.patience = TOGETHER, PATIENCE
-        self.unreadable = set()  # of those due, what was refused when it was posted alone
+        self.address = address
+        self.on_posted = on_posted
+        self.counters = counters
+        self.log = log
+        # due: id -> (outcome, milliseconds until a retry), oldest first; line: the connection that is kept
+        self.due, self.added, self.line = {}, trio.Event(), None
+        self.batch_limit = MAX_BATCH
+        self.patience = ANSWER_TIMEOUT  # seconds for the next answer
+        self.rejected_alone = set()  # those due that the platform could not read even when posted alone
 
     def add(self, ntf_id, outcome, retry_ms):
         self.due[ntf_id] = outcome, retry_ms
-        self.news.set()
+        self.added.set()
 
     def move(self, address):
-        """From the next try on: what is under way may still be answered, and is posted anew if it is not."""
-        self.address, self.patience = address, PATIENCE
+        """Post to another address from the next attempt on; a post in flight that gets no answer is repeated
+        there."""
+        self.address = address
+        self.patience = ANSWER_TIMEOUT
         if self.line:
-            self.end(self.line, "moved")
+            self.close(self.line, "moved")
             self.line = None
 
     async def run(self):
@@ -37,93 +48,95 @@
             while self.due:
                 status, posted = await self.post()
                 if status == 204:
-                    await self.settle(posted)
+                    await self.confirm(posted)
                     continue
-                if status != 400 or not self.parted(posted):
-                    await trio.sleep(PAUSE)
-            self.news = trio.Event()
-            await self.news.wait()
-
-    async def settle(self, posted):
-        self.together, self.patience = min(2 * self.together, TOGETHER), PATIENCE
+                if status != 400 or not self.reduce_batch(posted):
+                    await trio.sleep(RETRY_PAUSE)
+            self.added = trio.Event()
+            await self.added.wait()
+
+    async def confirm(self, posted):
+        """Count and pass on the notices that the platform has accepted."""
+        self.batch_limit, self.patience = min(2 * self.batch_limit, MAX_BATCH), ANSWER_TIMEOUT
         self.counters["notices_posted"] += len(posted)
         for ntf_id in posted:
             self.due.pop(ntf_id, None)
-            self.unreadable.discard(ntf_id)
+            self.rejected_alone.discard(ntf_id)
         for ntf_id in posted:
-            await self.taken(ntf_id)
+            await self.on_posted(ntf_id)
 
-    def parted(self, posted):
-        """Whether less goes in the next post, after one that could not be read.
+    def reduce_batch(self, posted):
+        """After a post that the platform could not read: whether the next one is smaller and may go at once.
 
-        Threat: one such holds up all the others; so they go in halves, and it alone, after them."""
+        One unreadable notice would otherwise hold up all others. Halving the batch finds it; it is then
+        posted alone, after the others."""
         if len(posted) > 1:
-            self.together = len(posted) // 2
+            self.batch_limit = len(posted) // 2
             return True
-        self.together = TOGETHER
-        self.unreadable.add(posted[0])
+        self.batch_limit = MAX_BATCH
+        self.rejected_alone.add(posted[0])
         self.due[posted[0]] = self.due.pop(posted[0])
         return False
 
-    def next(self):
-        """The ids that go in the next post: the oldest, but what was refused alone goes alone, and last."""
-        some = []
+    def next_batch(self):
+        """The ids that go in the next post: the oldest; those rejected alone go alone, after the others."""
+        batch = []
         for ntf_id in self.due:
-            if ntf_id not in self.unreadable:
-                some.append(ntf_id)
-                if len(some) == self.together:
+            if ntf_id not in self.rejected_alone:
+                batch.append(ntf_id)
+                if len(batch) == self.batch_limit:
                     break
-        return some or [next(iter(self.due))]
+        return batch or [next(iter(self.due))]
 
     async def post(self):
         """The answer's status (0: none came) and the ids that it answers.
 
-        Threat: a connection that is dead, or never comes up, and the notices' time is up in 300 ms; or a
-        platform that answers late.  So one try may last longer each time, and beside it brief ones follow
-        each other over new connections, each with all that is due by then: two connections at most."""
+        A notice is due within 300 ms, and a connection may be dead or never come up; or the platform may
+        answer late. So one attempt may last longer each time, and beside it short ones follow each other over
+        new connections, each with all that is due by then. That makes two connections at most."""
         answers = []
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.patient, answers, nursery.cancel_scope)
-            await trio.sleep(BRIEF)
+            nursery.start_soon(self.post_with_growing_timeout, answers, nursery.cancel_scope)
+            await trio.sleep(HEDGE_AFTER)
             while True:
-                begun = trio.current_time()
-                with trio.move_on_after(BRIEF):
-                    await self.attempt(None, answers)
+                started = trio.current_time()
+                with trio.move_on_after(HEDGE_AFTER):
+                    await self.post_once(None, answers)
                 if answers:
                     nursery.cancel_scope.cancel()
-                await trio.sleep_until(begun + BRIEF)
+                await trio.sleep_until(started + HEDGE_AFTER)
         return answers[0] if answers else (0, [])
 
-    async def patient(self, answers, scope):
+    async def post_with_growing_timeout(self, answers, scope):
         line, self.line = self.line, None
         if line and not line.quiet():
-            line = self.end(line, "closed_by_platform")
+            line = self.close(line, "closed_by_platform")
         with trio.move_on_after(self.patience):
-            await self.attempt(line, answers)
+            await self.post_once(line, answers)
         if not answers:
-            self.patience = min(2 * self.patience, MOST_PATIENCE)
+            self.patience = min(2 * self.patience, MAX_ANSWER_TIMEOUT)
         scope.cancel()
 
-    async def attempt(self, line, answers):
+    async def post_once(self, line, answers):
         """Post what is due over a connection, or a new one, which is kept if it can be used again."""
-        some, address, reason = self.next(), self.address, "silent"
-        body = b"".join(self.text(ntf_id, *self.due[ntf_id]) for ntf_id in some)
+        batch, address, reason = self.next_batch(), self.address, "silent"
+        body = b"".join(self.encode(ntf_id, *self.due[ntf_id]) for ntf_id in batch)
         try:
             line = line or await connect(self.network, address)
             status, reason = await self.exchange(line, body), "not_kept"
             if not answers:
-                answers.append((status, some))
+                answers.append((status, batch))
             if line.reusable() and status == 204 and not self.line and address == self.address:
                 line.next()
                 self.line, line = line, None
-        except Exception as error:  # threat: an odd answer must not end the program, nor the notices
+        except Exception as error:  # an unexpected answer must not end the process, or this task
             reason = type(error).__name__
         finally:
             if line:
-                self.end(line, reason)
+                self.close(line, reason)
 
     @staticmethod
-    def text(ntf_id, outcome, retry_ms):
+    def encode(ntf_id, outcome, retry_ms):
         notice = {"message": ntf_id, "outcome": outcome}
         if retry_ms:
             notice["retry_in_ms"] = retry_ms
@@ -144,6 +157,6 @@
         await line.rest(protocol.MOST_BODY)
         return answer.status_code
 
-    def end(self, line, reason):
+    def close(self, line, reason):
         line.close()
         self.log("conn", peer="platform", end=reason)
--- a/juniperlanding/net/owner.py
+++ b/juniperlanding/net/owner.py
@@ -1,7 +1,7 @@
-"""The one task that owns the decision module: events come by a queue, what it asks for is carried out after.
+"""The task that owns the decision module: it takes events from a queue and carries out the module's requests.
 
-A round takes all that has come, lets the module take its turn, writes the ledger, and only then starts calls,
-answers clients and posts notices; nothing in a round waits for anybody."""
+One iteration of the decision loop takes all events that have arrived, gives the module its turn, writes the
+ledger, and only then starts calls, answers clients and posts notices. No iteration waits for a peer."""
 
 import heapq
 from contextlib import suppress
@@ -17,103 +17,119 @@
 from juniperlanding.net.endpoints import Send
 from juniperlanding.net.trace import Trace
 
-ROUND = 256  # events taken together at most
-SETTLE = 0.005  # seconds between looks at whether all has come to rest
-STOOD_STILL = SEC // 4  # without a round; one of an idle process costs no more than a look or two
-WRITE_TRIES = 3  # in one round; a disk that fails now and then turns nobody away
-WRITE_AGAIN, MOST_WRITE_AGAIN = 5 * MS, 50 * MS  # until a ledger that could not be written is tried again
-CLOCK_STEP = MS  # a wall clock that is off by less has not been stepped
-MOST_LATE = 300 * MS  # after its TTL an end is due
-LAST_CALL = SEC // 5  # after its TTL, what the module has not ended is ended here, with a round between
+ROUND = 256  # events taken in one iteration at most
+QUIESCENCE_POLL = 0.005  # seconds between checks whether a frozen process has come to rest
+# No iteration for so long: the process may have been suspended. If it was only idle, this costs an extra
+# poll or two of the sockets.
+SUSPENDED_AFTER = SEC // 4
+WRITE_ATTEMPTS = 3  # in one iteration, so that a disk that fails now and then has no client rejected
+WRITE_BACKOFF = 5 * MS  # until a ledger that could not be written is tried again, doubled each time
+MAX_WRITE_BACKOFF = 50 * MS
+MIN_CLOCK_STEP = MS  # a wall clock that is off by less has not been stepped
+MAX_END_DELAY = 300 * MS  # after its TTL, the end of a notification is due
+LAST_CALL = SEC // 5  # after its TTL, the owner ends what the module has not, after one more iteration
 
 
-FULL = (rules.Reason.NO_PLACE, rules.Reason.NO_DISK)
+CAPACITY_REASONS = (rules.Reason.NO_PLACE, rules.Reason.NO_DISK)
 
 
 class Answer:
-    """What a client waits for."""
+    """The answer to one submission, for which a client waits."""
 
     def __init__(self, ntf_id):
         self.ntf_id, self.ready, self.status, self.again_in = ntf_id, trio.Event(), 503, 0
-        self.took = False  # whether it is this request that was taken on, and not the same id before
-        self.is_shared = False  # whether another request of the same id was told yes, too
-        self.under = 0  # the number in force then
+        self.took = False  # whether it is this request that was accepted, and not the same id before it
+        self.is_shared = False  # whether another request with the same id is answered 202, too
+        self.under = 0  # number of the policy that was in force at acceptance
 
 
 class Owner:
-    """The module's host on sockets."""
+    """The decision module's host on sockets."""
 
     def __init__(self, config, clock, ledger, counters, log):
-        self.config, self.ledger, self.counters, self.log_line = config, ledger, counters, log
+        self.config = config
+        self.ledger = ledger
+        self.counters = counters
+        self.log_line = log
         self.clock = clock
         self.now = clock.now
-        self.batches = config.settings.get("batch_by_kind", [])
-        self.held = {}  # what the module has not ended, with its client's answer; the ledger has the rest
-        self.taken = set()  # ids until their TTL; threat: one that is over comes again, and would run twice
-        self.timers, self.sequence, self.entries = [], 0, {}
+        self.batch_sizes = config.settings.get("batch_by_kind", [])
+        self.held = {}  # what the module has not ended: id -> its client's `Answer`; the ledger has the rest
+        self.taken = set()  # ids until their TTL, so that one that comes again after its end runs only once
+        self.timers = []  # a heap of (time, sequence number, function, its arguments)
+        self.sequence = 0
+        self.entries = {}  # endpoint -> its entry in the list, as the module got it
         self.trace = Trace(log, counters, config.trace)
-        self.told_waits = {}  # endpoint: until when it, or a mate on its route, told us to wait
-        self.calls, self.cancels, self.answers, self.notices_due = {}, [], [], []
+        self.told_waits = {}  # endpoint -> end of the Retry-After wait that it, or its route, asked for
+        # What this iteration asked for; it is carried out once the ledger is written.
+        self.new_calls = {}
+        self.cancels = []
+        self.answers = []
+        self.notices_due = []
         self.queue, self.inbox = trio.open_memory_channel(ROUND * 4)
         self.endpoints = self.notices = self.discovery = self.clients = None
         self.ready, self.frozen, self.parked = False, False, trio.Event()
-        self.watch = None  # a part that counts what is handed in and answered
-        self.stuck, self.write_at = False, 0  # the ledger cannot be written; when it is tried again
-        self.write_pause = WRITE_AGAIN
-        self.overslept = 0  # how late this round comes after the timer that it was due for
-        self.stuck_at, self.said = 0, None
+        self.watch = None  # a part that counts submissions and answers
+        self.stuck = False  # whether the ledger cannot be written
+        self.next_write_at = 0  # when a ledger that could not be written is tried again
+        self.write_backoff = WRITE_BACKOFF
+        self.iteration_delay = 0  # how late this iteration comes after the timer that it was due for
+        self.stuck_since = 0
+        self.logged_write_error = None
         self.at = Dispatcher(self, config.settings, config.seed, self.now())
-        # None: nothing binds us.  Else `holds()` is the number under which new work may be taken on, or None.
-        self.licence, self.in_force = None, 0
-        self.terms = {}  # number: topic types of each that something owed was taken on under; off, none
-        self.topics = self.named()
+        # None: no lease is needed. Else `holds()` is the policy number under which new notifications may be
+        # accepted, or None if there is none at present.
+        self.licence = None
+        self.in_force = 0
+        self.terms = {}  # policy number -> topic types, for each policy with pending notifications
+        self.topics = self.topic_indexes()
 
-    # ---- what socket tasks say; each becomes a call in the owner's next round
+    # ---- events of socket tasks: each is a function that the owner calls in its next iteration
 
-    async def tell(self, what, *fields):
-        with suppress(trio.BrokenResourceError):  # the owner has ended: nobody is told any more
-            await self.queue.send((what, fields))
+    async def tell(self, function, *fields):
+        with suppress(trio.BrokenResourceError):  # the owner has ended and takes no more events
+            await self.queue.send((function, fields))
 
-    def tell_now(self, what, *fields):
-        """For clients: False when the queue is full, which they are told."""
+    def tell_now(self, function, *fields):
+        """For clients: False if the queue is full, so that they can be rejected."""
         try:
-            self.queue.send_nowait((what, fields))
+            self.queue.send_nowait((function, fields))
         except (trio.WouldBlock, trio.BrokenResourceError):
             return False
         return True
 
-    # ---- what is in force
+    # ---- policies
 
-    def named(self):
+    def topic_indexes(self):
         types = self.at.me.settings["topic_types"]
-        return {topic.get("name"): at for at, topic in enumerate(types)}
+        return {topic.get("name"): index for index, topic in enumerate(types)}
 
     def bound(self, licence, terms):
-        """From now on new work is taken on under a licence alone; none is held yet."""
+        """From now on new work is accepted under a lease only; none is held yet."""
         self.licence, self.in_force, self.terms = licence, -1, terms
 
     def settle(self, number, settings):
-        """A policy is in force from this round on; what was taken on before keeps its terms."""
-        # What an earlier process took on under the same number has its topic types already.
+        """Put a policy in force from this iteration on; what was accepted before keeps its topic types."""
+        # An earlier process may have accepted notifications under the same number: its topic types stay.
         types = self.terms.get(number, settings["topic_types"])
         self.at.settled(settings | {"topic_types": types})
-        self.in_force, self.topics = number, self.named()
-        owed = {one.under for one in self.ledger.owed.values()} | {0}
-        self.terms = {one: told for one, told in self.terms.items() if one in owed} | {number: types}
+        self.in_force, self.topics = number, self.topic_indexes()
+        needed = {owed.under for owed in self.ledger.owed.values()} | {0}
+        self.terms = {one: kept for one, kept in self.terms.items() if one in needed} | {number: types}
 
     def licensed(self, under):
         return self.licence is None or self.licence.holds() == under
 
-    def terms_of(self, owed):
-        """The settings with the topic types that it was taken on with."""
+    def settings_for(self, owed):
+        """The settings with the topic types that were in force when a notification was accepted."""
         settings, types = self.at.me.settings, self.terms.get(owed.under)
         return settings | {"topic_types": types} if types else settings
 
-    # ---- the rounds
+    # ---- the decision loop
 
     def begin(self, known, offer=None):
-        """The first event: the module gets the last list, and what the ledger owes; or goes on with what the
-        process before us offers, so that nothing begins anew."""
+        """The first event: give the module the last known list and what is pending in the ledger, or let it
+        continue from the state that the old process hands over, so that nothing starts anew."""
         me = self.at.me
         if not (offer and self.inherit(offer)):
             self.at.start()
@@ -123,20 +139,21 @@
         for ntf_id in me.notifications.keys() - self.ledger.owed.keys():
             self.guarded(self.at.withdrawn, ntf_id)
         for ntf_id, number in me.pushes.keys() - self.endpoints.out.keys():
-            self.guarded(self.at.outcome, ntf_id, number, "reset")  # its connection did not come with it
+            self.guarded(self.at.outcome, ntf_id, number, "reset")  # its connection was not handed over
         for ntf_id, ttl_at in list(self.ledger.over.items()):
             self.taken.add(ntf_id)
-            self.after(max(ttl_at, self.at.now) + LAST_CALL, self.overdue, ntf_id)
+            self.call_at(max(ttl_at, self.at.now) + LAST_CALL, self.check_after_ttl, ntf_id)
         self.ready = True
 
     def inherit(self, offer):
-        """Whether the module could go on with an offer; a client's connection goes on in either case."""
+        """Let the module continue from an offered state; whether it could. Clients' connections are kept in
+        either case."""
         self.clients.inherit(self.nursery, offer.clients())
         try:
             offer.fits(self.config.settings)
             carry.given_to(self.at.me, offer.state["module"], self.terms)
         except carry.Unknown as error:
-            # Threat: records of another version; as after a kill, what was out may have run.
+            # The state is of another version. As after a kill, calls that were in flight may have run.
             self.log_line("upgrade", "the module begins from the ledger", why=str(error))
             offer.drop_calls()
             return False
@@ -150,120 +167,127 @@
         return True
 
     def restore(self, owed):
-        """Hand the module again what an earlier process took on, or post its notice again."""
+        """Give the module what an earlier process accepted, or post its notice again."""
         self.counters["restored"] += 1
         self.taken.add(owed.id)
-        self.after(max(owed.ttl_at, self.at.now) + LAST_CALL, self.overdue, owed.id)
+        self.call_at(max(owed.ttl_at, self.at.now) + LAST_CALL, self.check_after_ttl, owed.id)
         if owed.notice:
             self.counters["notices_due"] += 1
             return self.notices_due.append((owed.id, *owed.notice))
         self.held[owed.id] = None
         if owed.id in self.at.me.notifications:
-            return  # handed on with all that the module knows of it
+            return  # handed over with all that the module knows of it
         if owed.ttl_at <= self.at.now:
-            # Threat: the process before could tell its end and not write it, and this one tells another.
+            # The earlier process may have reported this end without being able to write it; any other
+            # outcome now would contradict it.
             return self.expired(owed.id)
-        first = min(owed.ran.values(), key=lambda ran: ran[1], default=(0, 0))
-        present, self.at.me.settings = self.at.me.settings, self.terms_of(owed)
+        first_run = min(owed.ran.values(), key=lambda ran: ran[1], default=(0, 0))
+        current, self.at.me.settings = self.at.me.settings, self.settings_for(owed)
         try:
             self.at.notification(
                 owed.id,
-                self.named().get(owed.topic, len(self.topics)),
+                self.topic_indexes().get(owed.topic, len(self.topics)),
                 owed.destination,
                 ttl_at=owed.ttl_at,
                 key=owed.turn,
                 pushes=owed.pushes,
-                ran_zone=first[0],
-                ran_at=first[1],
+                ran_zone=first_run[0],
+                ran_at=first_run[1],
                 unsent=not owed.left,
             )
         finally:
-            self.at.me.settings = present
+            self.at.me.settings = current
 
     async def run(self, nursery):
-        """Rounds until it was frozen and nothing that began is left open; then the module gets no turn.
+        """Iterate until the process is frozen and nothing that was started is left open.
 
-        Threat: the queue is full and nobody takes from it any more, so that who tells what must not be lost
-        waits for good, and the process never ends; so the queue ends with its owner."""
+        The queue is closed with the loop. Nothing would read it any more, and a task with an event that must
+        not be lost would wait on the full queue for ever and keep the process from ending."""
         self.nursery = nursery
         with self.inbox:
-            await self.rounds()
+            await self.run_loop()
 
-    async def rounds(self):
-        while not (self.frozen and self.settled()):
-            events = await self.gather()
+    async def run_loop(self):
+        while not (self.frozen and self.is_quiescent()):
+            events = await self.receive_events()
             self.at.now = now = self.now()
-            self.follow_wall_clock()
-            self.overslept = max(0, now - self.timers[0][0]) if self.timers else 0
-            for what, fields in events:
-                self.guarded(what, *fields)
+            self.update_wall_clock()
+            self.iteration_delay = max(0, now - self.timers[0][0]) if self.timers else 0
+            for function, fields in events:
+                self.guarded(function, *fields)
             while self.timers and self.timers[0][0] <= now:
                 self.guarded(*heapq.heappop(self.timers)[2:])
             if not self.frozen:
                 self.guarded(self.at.turn, rules.may_start(not self.stuck, self.frozen).is_allowed)
-            self.write()
+            self.write_iteration()
             self.carry_out()
             if self.parked.is_set():
-                await trio.sleep_forever()  # `hear_out` takes what still comes
+                await trio.sleep_forever()  # `hear_out` handles later events
 
-    def follow_wall_clock(self):
-        """Tell the module how far the machine's wall clock is ahead of ours, where that has changed.
+    def update_wall_clock(self):
+        """Tell the module how far the machine's wall clock is ahead of this process's clock, if that changed.
 
-        Dispatchers take turns by the time that their machines agree on; ours is kept from all steps."""
+        Dispatchers take turns by the wall clock, on which their machines agree; the process's own clock is
+        shielded from its steps."""
         ahead = self.clock.wall() - self.at.now
-        if abs(ahead - self.at.wall_clock_ahead) >= CLOCK_STEP:
+        if abs(ahead - self.at.wall_clock_ahead) >= MIN_CLOCK_STEP:
             self.at.wall_clock_ahead = ahead
 
     def park(self):
-        """Take no round after this one.  Threat: an event in the hand of a task that is ended is lost."""
+        """Take no iteration after this one. Cancelling the loop instead could lose an event that it took."""
         self.parked.set()
 
-    def settled(self):
+    def is_quiescent(self):
         if self.ledger.pending:
-            return False  # what is handed over is read from the folder
+            return False  # the new process reads the ledger from the folder
         queue = self.inbox.statistics()
         idle = not queue.current_buffer_used and not queue.tasks_waiting_send
-        if trio.current_time() > self.frozen_until:
-            self.log_line("upgrade", "not all came to rest in time", clients=self.clients.open)
+        if trio.current_time() > self.freeze_deadline:
+            self.log_line("upgrade", "connections still busy at the time limit", clients=self.clients.open)
             return idle
         return idle and self.clients.settled() and self.endpoints.settled()
 
     def freeze(self, within):
-        """Take on nothing more, start nothing; `run` ends within so many seconds."""
-        self.frozen, self.frozen_until = True, trio.current_time() + within
+        """Accept and start nothing more; `run` returns within so many seconds."""
+        self.frozen, self.freeze_deadline = True, trio.current_time() + within
         self.clients.freeze()
         self.endpoints.freeze()
 
-    def write(self):
-        """Threat: the disk fails.  Nothing leaves and no client is told yes before the ledger has it, while
-        what is out is heard, what can no longer go is ended, and who comes is refused at once (`stuck`)."""
-        if not self.stuck or self.at.now >= self.write_at:
-            self.flush()
+    def write_iteration(self):
+        """Write what this iteration decided; nothing is sent and no client gets a 202 before that.
+
+        While the disk fails (`stuck`), outcomes of calls in flight still count, notifications that can no
+        longer be delivered are ended, and new ones are rejected at once."""
+        if not self.stuck or self.at.now >= self.next_write_at:
+            self.flush_ledger()
         if self.stuck:
-            self.hold_back()
+            self.undo_iteration()
         elif self.licence is not None and self.answers:
-            self.look_again()
+            self.recheck_lease()
 
-    def flush(self):
+    def flush_ledger(self):
         now = self.now()
         try:
-            self.write_ledger()
-            self.write_pause = WRITE_AGAIN
+            self.flush_with_retries()
+            self.write_backoff = WRITE_BACKOFF
             if self.stuck:
-                self.stuck, self.said, after = False, None, (now - self.stuck_at) / SEC
+                self.stuck = False
+                self.logged_write_error = None
+                after = (now - self.stuck_since) / SEC
                 self.log_line("ledger", "writes again", after=f"{after:.2f}s")
         except OSError as error:
-            self.stuck_at = self.stuck_at if self.stuck else now
-            self.stuck, self.write_at = True, now + self.write_pause
-            self.write_pause = min(2 * self.write_pause, MOST_WRITE_AGAIN)
-            if self.said != (said := described(error)):
-                self.said = said
-                self.log_line("ledger", "cannot write", why=said, **system(error).fields)
+            self.stuck_since = self.stuck_since if self.stuck else now
+            self.stuck = True
+            self.next_write_at = now + self.write_backoff
+            self.write_backoff = min(2 * self.write_backoff, MAX_WRITE_BACKOFF)
+            if self.logged_write_error != (message := described(error)):
+                self.logged_write_error = message
+                self.log_line("ledger", "cannot write", why=message, **system(error).fields)
             self.counters["ledger_errors"] += 1
 
-    def write_ledger(self):
-        """Write what gathered, at the third try at the latest; the last try's OSError."""
-        for _ in range(WRITE_TRIES - 1):
+    def flush_with_retries(self):
+        """Write pending records in up to `WRITE_ATTEMPTS` attempts; raises the OSError of the last one."""
+        for _ in range(WRITE_ATTEMPTS - 1):
             try:
                 return self.ledger.flush()
             except OSError:
@@ -271,11 +295,11 @@
         self.ledger.flush()
 
     def may_leave(self, endpoint, sends):
-        """Between rounds: whether the last byte of a call may leave, now that it stands written.
+        """Between iterations: whether the last byte of a call may leave, once the ledger has its record.
 
-        Writing may take long, and the process may have stood still since the call began; so the time of the
-        verdict is read last."""
-        if not self.on_file(sends):
+        Writing may take long, and the process may have been suspended since the call began, so the time for
+        the verdict is read last."""
+        if not self.record_sends(sends):
             return False
         now = self.now()
         verdicts = [rules.may_send(self.send_facts(endpoint, send), now) for send in sends]
@@ -287,7 +311,7 @@
         return all(verdict.is_allowed for verdict in verdicts)
 
     def in_service(self, call):
-        """Whether the endpoint of a call takes new ones, by all lists so far."""
+        """Whether the endpoint of a call accepts new ones, by all lists so far."""
         endpoint = self.at.me.endpoints.get(call.endpoint)
         return endpoint is not None and endpoint.state == "ready"
 
@@ -305,72 +329,76 @@
             wait_until=self.told_waits.get(endpoint, 0),
         )
 
-    def on_file(self, sends):
-        """Whether it is written that these pushes may have run; a ledger that cannot be written lets nothing
+    def record_sends(self, sends):
+        """Record in the ledger that these pushes may have run; whether it could be written, else none may
         leave."""
         now = self.now()
         if not self.stuck:
             for send in sends:
                 if send.id in self.ledger.owed:
                     self.ledger.write("p", send.id, send.number, send.zone, now)
-            self.flush()
+            self.flush_ledger()
         return not self.stuck
 
-    def look_again(self):
-        """The instant of taking on: it is written, nothing has begun.  Threat: the licence ended meanwhile.
+    def recheck_lease(self):
+        """Reject what this iteration accepted if its lease has ended since.
 
-        From here on it is owed under its number, whenever the client hears of it."""
-        late = {
+        This is the moment of acceptance: the ledger has it, and no call has started. From here on the
+        notification is pending under its policy number, whenever the client gets its answer."""
+        unleased = {
             answer.ntf_id: answer
             for answer in self.answers
             if answer.took and answer.status == 202 and not self.licensed(answer.under)
         }
-        if not late:
+        if not unleased:
             return
-        for place, sends in self.calls.items():
-            for send in [send for send in sends if send.id in late]:
+        for key, sends in self.new_calls.items():
+            for send in [send for send in sends if send.id in unleased]:
                 self.guarded(self.at.outcome, send.id, send.number, "moot")
-            self.calls[place] = [send for send in sends if send.id not in late]
-        for ntf_id in late:
+            self.new_calls[key] = [send for send in sends if send.id not in unleased]
+        for ntf_id in unleased:
             self.counters.ended(self.ledger.owed[ntf_id].topic, DECLINED)
-            self.take_back(ntf_id)
-        told = [answer for answer in self.answers if answer.ntf_id in late]  # the same id twice in a round
-        for answer in told:
+            self.undo_acceptance(ntf_id)
+        # An id that came twice in this iteration has two answers.
+        rejected = [answer for answer in self.answers if answer.ntf_id in unleased]
+        for answer in rejected:
             answer.status, answer.again_in = 503, self.licence.again_in()
         try:
             self.ledger.flush()
         except OSError as error:
-            # Threat: the disk says that we owe them, we are killed, and they run after all.
+            # The ledger on disk still has them as pending: after a kill, the next process would send them. So
+            # their clients get a 500, which promises nothing.
             self.log_line("ledger", "cannot write", why=described(error))
-            self.stuck, self.write_at = True, self.at.now + WRITE_AGAIN
-            self.hold_back()
-            for answer in told:
+            self.stuck = True
+            self.next_write_at = self.at.now + WRITE_BACKOFF
+            self.undo_iteration()
+            for answer in rejected:
                 answer.status = 500
 
-    def hold_back(self):
-        """Of what this round asked for nothing has begun, and none of it does."""
-        for send in [send for sends in self.calls.values() for send in sends]:
+    def undo_iteration(self):
+        """Undo what this iteration accepted and asked for, as none of it has started yet."""
+        for send in [send for sends in self.new_calls.values() for send in sends]:
             self.guarded(self.at.outcome, send.id, send.number, "moot")
-        self.calls.clear()
+        self.new_calls.clear()
         for answer in self.answers:
             if self.held.get(answer.ntf_id) is answer:
-                # Threat: half of what was written cannot be cut off, we are killed, and it runs after all.
-                answer.status, how = (500, ABORTED) if self.ledger.torn else (503, DECLINED)
-                self.counters.ended(self.ledger.owed[answer.ntf_id].topic, how)
-                self.take_back(answer.ntf_id)
+                # If a partial write cannot be cut off, it may be sent after a kill: 500 promises nothing.
+                answer.status, result = (500, ABORTED) if self.ledger.torn else (503, DECLINED)
+                self.counters.ended(self.ledger.owed[answer.ntf_id].topic, result)
+                self.undo_acceptance(answer.ntf_id)
             else:
                 answer.status = 503
 
-    async def gather(self):
+    async def receive_events(self):
         events = []
-        left = (self.timers[0][0] - self.now()) / SEC if self.timers else float("inf")
+        time_left = (self.timers[0][0] - self.now()) / SEC if self.timers else float("inf")
         if self.stuck:
-            left = min(left, max(0, self.write_at - self.now()) / SEC)
-        with trio.move_on_after(min(max(0, left), SETTLE if self.frozen else float("inf"))):
+            time_left = min(time_left, max(0, self.next_write_at - self.now()) / SEC)
+        with trio.move_on_after(min(max(0, time_left), QUIESCENCE_POLL if self.frozen else float("inf"))):
             events.append(await self.inbox.receive())
-        # Threat: after standing still, timers would come before answers; and the first look at the sockets
-        # tells of nothing then (EINTR), so that there has to be another.
-        for _ in range(1 if self.now() - self.at.now < STOOD_STILL else 3):
+        # After a suspension, expired timers would be handled before answers that have arrived meanwhile. The
+        # first poll of the sockets may report nothing then (EINTR), so there has to be another.
+        for _ in range(1 if self.now() - self.at.now < SUSPENDED_AFTER else 3):
             await trio.lowlevel.checkpoint()
         while len(events) < ROUND:
             try:
@@ -379,10 +407,10 @@
                 break
         return events
 
-    def guarded(self, what, *fields):
-        """Threat: one odd event must not end the program with all that it owes."""
+    def guarded(self, function, *fields):
+        """Call a function; an unexpected exception must not end the process with all that is pending."""
         try:
-            what(*fields)
+            function(*fields)
         except Exception as error:
             self.counters["faults"] += 1
             self.log_line("fault", part="owner", why=described(error), at_line=where(error))
@@ -390,55 +418,58 @@
     def carry_out(self):
         for answer in self.answers:
             answer.ready.set()
-        for (endpoint, _), sends in self.calls.items():
+        for (endpoint, _), sends in self.new_calls.items():
             if sends:
                 self.endpoints.start(self.nursery, endpoint, sends)
         for ntf_id, number in self.cancels:
             self.endpoints.cancel(ntf_id, number)
-        for notice in self.may_be_posted():
+        for notice in self.take_postable_notices():
             self.notices.add(*notice)
-        for asked in (self.answers, self.calls, self.cancels):
-            asked.clear()
+        for requests in (self.answers, self.new_calls, self.cancels):
+            requests.clear()
 
     def hear_out(self):
-        """The process ends: what was told or has come and no round has taken still counts.
+        """As the process ends, handle the events and answers that have arrived and no iteration has taken.
 
-        Threat: what was answered with 200 is given up after the restart, or runs once more."""
+        A push that was answered with 200 would otherwise be given up after the restart, or sent once more."""
         self.at.now = now = self.now()
         with suppress(trio.WouldBlock):
             while True:
-                what, fields = self.inbox.receive_nowait()
-                if what != self.submit:  # its client is told no more, so nothing is owed
-                    self.guarded(what, *fields)
+                function, fields = self.inbox.receive_nowait()
+                if function != self.submit:  # its client gets no answer any more, so nothing is pending
+                    self.guarded(function, *fields)
         for call in set(self.endpoints.out.values()):
             if call.written and call.line and len(call.sends) == 1:
                 if protocol.says_delivered(call.line.arrived()):
-                    one = call.sends[0]
-                    ended = [(one.id, one.number, "delivered", now - call.began_at, 0, True, None)]
-                    self.guarded(self.finished, call.endpoint, ended, now)
+                    send = call.sends[0]
+                    outcomes = [(send.id, send.number, "delivered", now - call.began_at, 0, True, None)]
+                    self.guarded(self.finished, call.endpoint, outcomes, now)
+
+    def take_postable_notices(self):
+        """Take the notices that may be posted now.
 
-    def may_be_posted(self):
-        """Threat: a notice goes out unwritten, we are killed, and what was handed back runs again.  Past its
-        TTL it cannot."""
+        If a notice were posted before its record is written, a kill could follow, and the next process would
+        send again what was reported as rejected. Past its TTL it cannot be sent, so the notice may go."""
         due, self.notices_due = self.notices_due, []
         if not self.stuck:
             return due
-        left = {
+        time_left = {
             ntf_id: self.ledger.owed[ntf_id].ttl_at - self.at.now
             for ntf_id, *_ in due
             if ntf_id in self.ledger.owed
         }
-        self.notices_due = [notice for notice in due if left.get(notice[0], 0) > 0]
-        late = [ntf_id for ntf_id, *_ in due if left.get(ntf_id, 1) <= 0]
-        for ntf_id in late:
-            # Threat: we end before this can be written, and the next process gives up what we handed back.
+        self.notices_due = [notice for notice in due if time_left.get(notice[0], 0) > 0]
+        past_ttl = [ntf_id for ntf_id, *_ in due if time_left.get(ntf_id, 1) <= 0]
+        for ntf_id in past_ttl:
+            # This process may end before it can write, and the next one reports as given up what is past its
+            # TTL; the outcome reported here has to be the same.
             self.ledger.replace_end(ntf_id, protocol.GIVEN_UP, 0)
-        return [(ntf_id, protocol.GIVEN_UP, 0) for ntf_id in late]
+        return [(ntf_id, protocol.GIVEN_UP, 0) for ntf_id in past_ttl]
 
     # ---- events
 
     def gauges(self):
-        """What is so at this moment, under the operators' names."""
+        """The present values of the gauges, under the operators' names."""
         listed = [endpoint for endpoint in self.at.me.endpoints.values() if endpoint.state != "gone"]
         return {
             "outstanding": len(self.held),
@@ -452,7 +483,7 @@
                 self.endpoints.move(entry[0])
             self.endpoints.book[entry[0]], self.entries[entry[0]] = address, entry
         self.at.listed(news, [entry for entry, _ in members])
-        # What a whole list leaves out is gone, though it is named nowhere.
+        # An endpoint that a whole list leaves out is gone, although no entry names it.
         self.endpoints.recall({call.endpoint for call in self.endpoints.calls() if not self.in_service(call)})
         for gone in self.entries.keys() - self.at.me.endpoints.keys():
             del self.endpoints.book[gone], self.entries[gone]
@@ -462,7 +493,7 @@
         ntf_id = answer.ntf_id
         self.answers.append(answer)
         if ntf_id in self.taken or ntf_id in self.ledger.owed:
-            answer.status = 202  # the same once more on a new connection, or by another client
+            answer.status = 202  # submitted again, on a new connection or by another client
             if first := self.held.get(ntf_id):
                 first.is_shared = True
             return
@@ -473,7 +504,7 @@
             return self.counters.ended(topic, DECLINED)
         facts = rules.TakeOnFacts(
             is_writable=not self.stuck,
-            is_destination_known=destination in self.at.me.destinations,  # else the list is behind
+            is_destination_known=destination in self.at.me.destinations,  # else the list is out of date
             has_place=len(self.held) < self.at.me.settings.get("most_held", 1 << 30),
             has_disk=self.ledger.room(len(body)),
         )
@@ -482,7 +513,7 @@
             self.watch.handed_in(topic, destination)
         if not verdict.is_allowed:
             self.trace.refused(ntf_id, verdict.reason)
-            self.counters["turned_away_full"] += verdict.reason in FULL
+            self.counters["turned_away_full"] += verdict.reason in CAPACITY_REASONS
             return self.counters.ended(topic, DECLINED)
         self.ledger.take(ntf_id, topic, destination, ttl_at, key, body, under=self.in_force)
         if turn:
@@ -492,19 +523,21 @@
             self.at.notification(
                 ntf_id, self.topics[topic], destination, ttl_at=ttl_at, key=turn, tenant=tenant
             )
-        except Exception:  # threat: the client hears yes, and the module has nothing of it
+        except Exception:  # the client must not get a 202 for what the module does not have
             self.end(ntf_id)
             raise
-        self.after(ttl_at + LAST_CALL, self.overdue, ntf_id)
+        self.call_at(ttl_at + LAST_CALL, self.check_after_ttl, ntf_id)
         self.taken.add(ntf_id)
         self.counters["taken_on"] += 1
         answer.status, answer.took, answer.under = 202, True, self.in_force
         self.trace.event(ntf_id, "taken", topic=topic, destination=destination)
 
-    def overdue(self, ntf_id, looked=False):
-        """Threat: the module failed at an event, and what it concerned would never end."""
-        if not looked:  # threat: we stood still past the TTL, and the module has had no turn since
-            return self.after(self.at.now + LAST_CALL // 4, self.overdue, ntf_id, True)
+    def check_after_ttl(self, ntf_id, had_turn=False):
+        """Forget an id after its TTL, and end what the module has not ended.
+
+        After a failure in one of its event functions, the module might never end the notification."""
+        if not had_turn:  # if the process was suspended past the TTL, the module has had no turn since
+            return self.call_at(self.at.now + LAST_CALL // 4, self.check_after_ttl, ntf_id, True)
         self.taken.discard(ntf_id)
         self.ledger.forget(ntf_id)
         if ntf_id in self.held:
@@ -514,19 +547,20 @@
             self.expired(ntf_id)
 
     def unheard(self, answer):
-        """The client left before it was told: nothing is owed, unless another heard yes for the same id."""
+        """The client left before its 202: nothing is pending, unless another got a 202 for the same id."""
         if answer.is_shared:
             return
-        self.take_back(answer.ntf_id)
+        self.undo_acceptance(answer.ntf_id)
         self.counters["unheard"] += 1
 
-    def take_back(self, ntf_id):
+    def undo_acceptance(self, ntf_id):
         self.taken.discard(ntf_id)
         self.at.withdrawn(ntf_id)
         self.end(ntf_id, "x")
 
     def finished(self, endpoint, outcomes, heard):
-        """`heard`: when.  Threat: this round comes long after, and a delivery in time looks late."""
+        """`heard`: when the answer came. This iteration may run long after, and a delivery in time would look
+        late."""
         for ntf_id, number, ending, latency, wait, over, report in outcomes:
             if self.watch and ending == "delivered" and (ntf := self.at.me.notifications.get(ntf_id)):
                 in_time = over and ntf_id in self.held and heard < ntf.ttl_at
@@ -536,98 +570,100 @@
                 in_time = ending == "delivered" and heard < owed.ttl_at  # else withdrawn, or too late
                 self.counters.ended(owed.topic, SUCCEEDED if in_time else ABORTED)
                 if heard >= owed.ttl_at - protocol.TIME_IS_UP:
-                    # Threat: an answer that comes as the time is up ends it for nobody; a notice too many
-                    # does no harm.
+                    # So close to the TTL, the answer may come too late to be the end for the client. A
+                    # superfluous notice does no harm, so one is posted.
                     self.held.pop(ntf_id)
-                    self.give_notice(ntf_id, protocol.GIVEN_UP, 0)
+                    self.queue_notice(ntf_id, protocol.GIVEN_UP, 0)
                 else:
                     self.end(ntf_id)
             elif over:
                 self.end(ntf_id)
             elif ending in NEVER_RAN:
-                self.never_ran(ntf_id, number, ending)
+                self.record_never_ran(ntf_id, number, ending)
             self.trace.event(ntf_id, ending, number=number, endpoint=endpoint, over=over, wait_ms=wait // MS)
             if wait and endpoint in self.at.me.endpoints:
-                mates = self.mates(endpoint)
-                self.told_waits.update(dict.fromkeys(mates, heard + wait))
-                self.endpoints.recall(mates)
+                same_route = self.endpoints_on_route(endpoint)
+                self.told_waits.update(dict.fromkeys(same_route, heard + wait))
+                self.endpoints.recall(same_route)
             self.at.outcome(ntf_id, number, ending, latency=latency, wait=wait, over=over, report=report)
 
-    def never_ran(self, ntf_id, number, ending):
-        """What never left is on file only where its endpoint could not be reached: a restart is to know of
-        that, and one that was called back, or met no place, is untried.
+    def record_never_ran(self, ntf_id, number, ending):
+        """Record that a push did not run.
 
-        Threat: told by the module's number, it has used up tries that never were."""
+        A push that never left is recorded only if its endpoint could not be reached, which a restart has to
+        know; one that was recalled, or found no capacity, counts as untried. It is recorded under the
+        ledger's count: by the module's number, a restart would count attempts that were never made."""
         owed = self.ledger.owed.get(ntf_id)
         if owed and (number in owed.ran or ending == "unreachable"):
             self.ledger.write("n", ntf_id, number if number in owed.ran else owed.pushes)
 
-    def mates(self, endpoint):
-        """The endpoints that a wait told by one of them binds."""
+    def endpoints_on_route(self, endpoint):
+        """The endpoints to which a Retry-After wait of this one applies: all on its route."""
         route = self.at.me.endpoints[endpoint].route
-        return {mate for mate, other in self.at.me.endpoints.items() if other.route is route}
+        return {number for number, other in self.at.me.endpoints.items() if other.route is route}
 
-    def end(self, ntf_id, how="e"):
+    def end(self, ntf_id, letter="e"):
         self.held.pop(ntf_id, None)
         if ntf_id in self.ledger.owed:
-            self.ledger.write(how, ntf_id)
+            self.ledger.write(letter, ntf_id)
             if ntf_id not in self.taken:
-                self.ledger.forget(ntf_id)  # its TTL was past before it ended
+                self.ledger.forget(ntf_id)  # its TTL had passed before it ended
 
     # ---- what the module asks for (interface.Host)
 
     def push(self, ntf_id, endpoint_id, timeout, leave_within):
         owed, now = self.ledger.owed[ntf_id], self.at.now
-        number = self.at.me.notifications[ntf_id].pushes - 1  # the ledger knows only those that left
+        number = self.at.me.notifications[ntf_id].pushes - 1  # the ledger counts only those that left
         until = min(now + timeout, owed.ttl_at) if timeout else owed.ttl_at
         leave_by = now + leave_within if leave_within else until
         kind, _, zone = self.entries[endpoint_id][2:5]
         send = Send(ntf_id, number, owed.key, owed.body, until, owed.ttl_at, leave_by, zone)
         self.trace.event(ntf_id, "sending", number=number, endpoint=endpoint_id)
-        most = self.batches[kind] if kind < len(self.batches) else 1
-        part = 0
-        while len(self.calls.setdefault((endpoint_id, part), [])) >= max(most, 1):
-            part += 1
-        self.calls[endpoint_id, part].append(send)
+        max_batch = self.batch_sizes[kind] if kind < len(self.batch_sizes) else 1
+        batch = 0
+        while len(self.new_calls.setdefault((endpoint_id, batch), [])) >= max(max_batch, 1):
+            batch += 1
+        self.new_calls[endpoint_id, batch].append(send)
 
     def cancel(self, ntf_id, number):
         self.cancels.append((ntf_id, number))
 
     def throttled(self, ntf_id, again_in):
-        self.conclude(ntf_id, protocol.HANDED_BACK, 503, again_in)
+        self.end_undelivered(ntf_id, protocol.HANDED_BACK, 503, again_in)
 
     def expired(self, ntf_id):
-        self.conclude(ntf_id, protocol.GIVEN_UP, 500, 0)
+        self.end_undelivered(ntf_id, protocol.GIVEN_UP, 500, 0)
 
-    def conclude(self, ntf_id, outcome, status, again_in):
-        """In the client's own answer while that is still to come, else by a notice."""
+    def end_undelivered(self, ntf_id, outcome, status, again_in):
+        """Report an end without delivery: in the client's answer if it is still to come, else by a notice."""
         if ntf_id not in self.held:
             return self.trace.violation(rules.Rule.ANSWERED_TWICE, ntf_id, outcome=outcome)
         answer = self.held.pop(ntf_id)
-        how = DECLINED if outcome == protocol.HANDED_BACK else ABORTED
-        self.counters.ended(self.ledger.owed[ntf_id].topic, how)
+        result = DECLINED if outcome == protocol.HANDED_BACK else ABORTED
+        self.counters.ended(self.ledger.owed[ntf_id].topic, result)
         if answer in self.answers:
-            for same in [one for one in self.answers if one.ntf_id == ntf_id]:
-                same.status, same.again_in = status, again_in
+            for other in [one for one in self.answers if one.ntf_id == ntf_id]:
+                other.status = status
+                other.again_in = again_in
             self.taken.discard(ntf_id)
             return self.ledger.write("x", ntf_id)
-        self.give_notice(ntf_id, outcome, again_in)
+        self.queue_notice(ntf_id, outcome, again_in)
 
-    def give_notice(self, ntf_id, outcome, again_in):
-        late = self.at.now - self.ledger.owed[ntf_id].ttl_at
-        if self.ready and late - self.overslept > MOST_LATE:
-            self.trace.violation(rules.Rule.LATE_END, ntf_id, late_ms=late // MS)
+    def queue_notice(self, ntf_id, outcome, again_in):
+        delay = self.at.now - self.ledger.owed[ntf_id].ttl_at
+        if self.ready and delay - self.iteration_delay > MAX_END_DELAY:
+            self.trace.violation(rules.Rule.LATE_END, ntf_id, late_ms=delay // MS)
         self.trace.event(ntf_id, outcome, again_in_ms=again_in // MS)
         self.ledger.write("o", ntf_id, outcome, again_in // MS)
         self.counters["notices_due"] += 1
         self.notices_due.append((ntf_id, outcome, again_in // MS))
 
     def timer(self, delay, tok):
-        self.after(self.at.now + delay, self.at.wake, tok)
+        self.call_at(self.at.now + delay, self.at.wake, tok)
 
-    def after(self, at, what, *fields):
+    def call_at(self, at, function, *fields):
         self.sequence += 1
-        heapq.heappush(self.timers, (at, self.sequence, what, *fields))
+        heapq.heappush(self.timers, (at, self.sequence, function, *fields))
 
     def close_idle(self, endpoint_id):
         self.endpoints.close_idle(endpoint_id)
@@ -639,10 +675,10 @@
         self.discovery.fetch()
 
     def probe(self, endpoint_id):
-        self.log_line("host", "no checks on these sockets")
+        self.log_line("host", "endpoint probes are not supported")
 
     def note(self, rank, body):
-        self.counters["notes_unsent"] += 1  # the protocol has no notes between dispatchers
+        self.counters["notes_unsent"] += 1  # the HTTP protocol has no notes between dispatchers
 
     def log(self, text):
         self.log_line("module", text)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -130,15 +130,15 @@
 
     def make(offer=None):
         made = node(site, told, offer)
-        gather = made.owner.gather
+        receive_events = made.owner.receive_events
 
         async def late():
-            made.owner.gather = gather
+            made.owner.receive_events = receive_events
             with trio.move_on_after(0.2):
                 await site.until(unless)
-            return await gather()
+            return await receive_events()
 
-        made.owner.gather = late
+        made.owner.receive_events = late
         return made
 
     return await start(site, await succession.begin(make, told, site.world))
