--- a/tests/test_endings_drain.py
+++ b/tests/test_endings_drain.py
@@ -1,6 +1,6 @@
-"""What is still owed in the instant in which a client's connection, or the process, ends.
+"""What is still pending as a client's connection, or the process, ends.
 
-Every crossing is forced: a hook at the seam lets the other side act before the one side goes on."""
+The races are forced: a hook lets the other side act before this side goes on."""
 
 import socket
 from contextlib import suppress
@@ -12,36 +12,38 @@
 from test_net import handed, owed
 
 from juniperlanding.ground.seams import Listener
-from juniperlanding.net import clients as ends
+from juniperlanding.net import clients as clients_module
 from juniperlanding.net import protocol
 from juniperlanding.net.clients import Clients
 from juniperlanding.net.line import Line
 from juniperlanding.standins.peers import http, read_message
 
-SHORT = 0.2  # seconds that a new client gets where the test waits for their end
+SHORT = 0.2  # seconds that a new client gets where the test waits until they have passed
 
 
-def crossing(monkeypatch, at=lambda line: True):
-    """As the wait of `Line.begin` is broken off, the bytes in `late` arrive before anything else happens."""
-    whole, late = Line.begin, []
+def send_as_begin_is_cancelled(monkeypatch, applies_to=lambda line: True):
+    """As `Line.begin` is cancelled, data arrives before any other task runs.
+
+    Returns a list to which the test adds what to send, (socket, data)."""
+    original_begin, to_send = Line.begin, []
 
     async def begin(line):
         try:
-            return await whole(line)
+            return await original_begin(line)
         except trio.Cancelled:
-            if late and at(line):
-                sock, data = late.pop()
+            if to_send and applies_to(line):
+                sock, data = to_send.pop()
                 sock.send(data)
-                while line.sock.peek() is None:  # loopback: it is there at once
+                while line.sock.peek() is None:  # on loopback it arrives at once
                     pass
             raise
 
     monkeypatch.setattr(Line, "begin", begin)
-    return late
+    return to_send
 
 
 async def heard(stream):
-    """The answer's status, None for an end without one, "reset"."""
+    """The answer's status, None if the connection ended without one, "reset" if it was reset."""
     try:
         message = await read_message(stream, bytearray())
     except trio.BrokenResourceError:
@@ -62,8 +64,8 @@
 )
 def test_a_request_that_comes_as_its_connection_is_given_up_is_answered(site, monkeypatch, how, kept):
     monkeypatch.setattr(Clients.attend, "__defaults__", (SHORT if how == "silent" else 2.5,))
-    monkeypatch.setattr(ends, "LAST_REST_WITHIN", 0.0 if how == "drained" else SHORT, raising=False)
-    late = crossing(monkeypatch)
+    monkeypatch.setattr(clients_module, "LAST_REST_WITHIN", 0.0 if how == "drained" else SHORT, raising=False)
+    to_send = send_as_begin_is_cancelled(monkeypatch)
 
     async def scene(site):
         node = await site.start()
@@ -71,39 +73,39 @@
         if kept:
             assert await site.submit("a1", stream=stream) == 202
         await site.until(lambda: node.clients.waiting)
-        late.append((stream.socket._sock, handed("X-Trace-Id: a2")))
+        to_send.append((stream.socket._sock, handed("X-Trace-Id: a2")))
         end_by(node, how)
-        assert await heard(stream) in (202, 503) and not late
+        assert await heard(stream) in (202, 503) and not to_send
 
     site.run(scene)
 
 
 @pytest.mark.parametrize("how", ["evicted", "drained"])
 def test_half_a_request_still_gets_whole_as_its_connection_is_given_up(site, monkeypatch, how):
-    monkeypatch.setattr(ends, "REST_WITHIN", 5.0, raising=False)
-    monkeypatch.setattr(ends, "LAST_REST_WITHIN", 5.0, raising=False)
+    monkeypatch.setattr(clients_module, "REST_WITHIN", 5.0, raising=False)
+    monkeypatch.setattr(clients_module, "LAST_REST_WITHIN", 5.0, raising=False)
 
     async def scene(site):
         node = await site.start()
-        stream, text = await site.client(), handed("X-Trace-Id: a2", "Content-Length: 5", body=b"hello")
-        await stream.send_all(text[:-2])
+        stream, request = await site.client(), handed("X-Trace-Id: a2", "Content-Length: 5", body=b"hello")
+        await stream.send_all(request[:-2])
         await site.until(lambda: any(line.raw for line in node.clients.waiting))
         end_by(node, how)
-        await stream.send_all(text[-2:])
+        await stream.send_all(request[-2:])
         assert await heard(stream) == 202
 
     site.run(scene)
 
 
 def test_the_rest_that_comes_as_its_time_ends_is_answered_503_and_not_reset(site, monkeypatch):
-    monkeypatch.setattr(ends, "REST_WITHIN", 0.0, raising=False)
-    whole, late = Line.body, []
+    monkeypatch.setattr(clients_module, "REST_WITHIN", 0.0, raising=False)
+    original_body, sockets = Line.body, []
 
     async def body(line, most):
         try:
-            return await whole(line, most)
+            return await original_body(line, most)
         except trio.Cancelled:
-            late.pop().send(b"lo")
+            sockets.pop().send(b"lo")
             while line.sock.peek() is None:
                 pass
             raise
@@ -114,7 +116,7 @@
         node, stream = await site.start(), await site.client()
         await stream.send_all(handed("X-Trace-Id: a2", "Content-Length: 5", body=b"hel"))
         await site.until(lambda: any(line.raw for line in node.clients.waiting))
-        late.append(stream.socket._sock)
+        sockets.append(stream.socket._sock)
         node.clients.evict()
         assert await heard(stream) == 503
 
@@ -130,7 +132,7 @@
         end_by(node, how)
         assert await stream.receive_some() == b""
         await stream.send_all(handed("X-Trace-Id: a2"))
-        await site.until(lambda: not node.clients.open)  # closed, for as long as the client stays
+        await site.until(lambda: not node.clients.open)  # closed, although the client stays
         assert await stream.receive_some() == b""
         assert not stream.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)  # EPIPE after a reset
         assert node.counters["handed_in"] == 1
@@ -141,13 +143,14 @@
 
 def test_those_turned_away_who_stay_keep_no_place_from_the_next(site, monkeypatch):
     monkeypatch.setattr("juniperlanding.net.line.LINGER", 60)
-    site.limits = {"disk_mb": 3, "sockets": 52}  # room for eight, and eight over the limit
+    site.limits = {"disk_mb": 3, "sockets": 52}  # eight connections, and eight over the limit
 
     async def scene(site):
         node = await site.start()
-        stay = [await site.client() for _ in range(40)]
-        with trio.fail_after(5):  # sixty seconds for each pair of eight else
-            for stream in stay[:30]:
+        streams = [await site.client() for _ in range(40)]
+        # If those that stay kept their places for `LINGER`, this would take 60 s for every 16 of them.
+        with trio.fail_after(5):
+            for stream in streams[:30]:
                 assert await stream.receive_some() == b""
             assert await site.submit("a1") == 202
         assert node.clients.open <= 16
@@ -158,35 +161,35 @@
 # ---- the end of the process
 
 
-async def gone(site):
-    """The process ends; its tasks are over before another one has the numbers of its sockets."""
+async def end_process(site):
+    """End the process. Its tasks are over before its socket numbers can be reused."""
     site.scope.cancel()
     await trio.testing.wait_all_tasks_blocked()
     site.node.release()
 
 
-def soon(monkeypatch):
-    """The drain begins its last moments after 0.3 s; then it has five seconds, which no test needs."""
+def shorten_drain(monkeypatch):
+    """The last phase of the drain begins after 0.3 s, and may last five seconds, which no test needs."""
     monkeypatch.setattr(protocol, "KILL_AFTER", 5.4)
     monkeypatch.setattr("juniperlanding.net.node.LAST_WORDS", 5.0, raising=False)
 
 
 async def stop(site):
-    """As `serve` does it."""
+    """Drain and close the node as `serve` does; whether all that is pending was written."""
     await site.node.drain()
-    well = site.node.close()
+    is_written = site.node.close()
     site.scope.cancel()
-    return well
+    return is_written
 
 
 def test_a_yes_that_is_written_down_leaves_before_the_process_ends(site, monkeypatch):
-    soon(monkeypatch)
-    whole = Clients.respond
+    shorten_drain(monkeypatch)
+    original_respond = Clients.respond
 
     async def respond(clients, line, status, *more, **named):
-        if status == 202:  # the round has written it, and its task gets its turn only now
+        if status == 202:  # it is in the ledger, and the client's task runs only now
             await site.until(lambda: clients.accepting.cancel_called)
-        return await whole(clients, line, status, *more, **named)
+        return await original_respond(clients, line, status, *more, **named)
 
     monkeypatch.setattr(Clients, "respond", respond)
 
@@ -211,27 +214,27 @@
 
 
 def test_who_stands_in_the_backlog_is_answered_and_who_comes_after_is_refused(site, monkeypatch):
-    soon(monkeypatch)
+    shorten_drain(monkeypatch)
     streams, refused = [], []
 
     async def scene(site):
         node = await site.start()
         refuse, close = node.clients.refuse, node.close
 
-        def come():
-            """A request of its own connection, in the moment in which the process ceases to take work on."""
+        def connect_and_refuse():
+            """A request on a new connection arrives just before the process accepts nothing more."""
             sock = socket.create_connection(site.address)
             sock.send(handed("X-Trace-Id: a1"))
             streams.append(trio.SocketStream(trio.socket.from_stdlib_socket(sock)))
             refuse()
 
-        def closing():
+        def check_refused_and_close():
             with pytest.raises(ConnectionRefusedError):
                 socket.create_connection(site.address)
             refused.append(True)
             return close()
 
-        node.clients.refuse, node.close = come, closing
+        node.clients.refuse, node.close = connect_and_refuse, check_refused_and_close
         site.nursery.start_soon(stop, site)
         await site.until(lambda: streams)
         assert await heard(streams[0]) == 503
@@ -241,27 +244,27 @@
 
 
 def test_who_comes_after_the_last_look_at_the_backlog_is_answered(site, monkeypatch):
-    """In the moment in which the task that accepts has ended, and the listener is still there."""
-    soon(monkeypatch)
+    """Its connection arrives when the accepting task has ended and the listener is still open."""
+    shorten_drain(monkeypatch)
     monkeypatch.setattr("juniperlanding.net.node.LAST_ANSWERED", 4.0)
     streams = []
 
     async def scene(site):
         node = await site.start()
-        ended = node.clients.accepts_nobody
+        accepting_ended = node.clients.accepts_nobody
 
-        class Ended:
+        class ConnectsOnceEnded:
             async def wait(self):
-                await ended.wait()
+                await accepting_ended.wait()
                 if not streams:
                     sock = socket.create_connection(site.address)
                     sock.send(handed("X-Trace-Id: a1"))
                     streams.append(trio.SocketStream(trio.socket.from_stdlib_socket(sock)))
 
             def set(self):
-                ended.set()
+                accepting_ended.set()
 
-        node.clients.accepts_nobody = Ended()
+        node.clients.accepts_nobody = ConnectsOnceEnded()
         site.nursery.start_soon(stop, site)
         await site.until(lambda: streams)
         assert await heard(streams[0]) == 503
@@ -270,7 +273,7 @@
 
 
 def test_the_process_ends_well_as_a_place_is_got_just_as_nobody_is_accepted_any_more(site, monkeypatch):
-    soon(monkeypatch)
+    shorten_drain(monkeypatch)
     monkeypatch.setattr("juniperlanding.net.node.LAST_ANSWERED", 4.0)
 
     async def scene(site):
@@ -278,85 +281,86 @@
         await site.until(lambda: node.owner.ready)
         limit, refuse, close = node.clients.connection_limit, node.clients.refuse, node.clients.close
         acquire = limit.acquire
-        got, crossed = [], []
+        acquired, finished = [], []
 
-        async def closes(listener):
-            await site.until(lambda: got)
+        async def close_once_acquired(listener):
+            await site.until(lambda: acquired)
             await close(listener)
 
-        async def acquires():
+        async def acquire_during_close():
             await acquire()
-            got.append(True)
+            acquired.append(True)
             with trio.CancelScope(shield=True):  # the last step of `acquire` cannot be cancelled either
                 await site.until(lambda: node.clients.accepting.cancel_called)
                 for _ in range(9):
                     await trio.lowlevel.checkpoint()
-            crossed.append(True)
+            finished.append(True)
 
-        def refuses():
+        def refuse_and_connect():
             refuse()
-            node.clients.connection_limit.acquire = acquires
+            node.clients.connection_limit.acquire = acquire_during_close
             socket.create_connection(site.address).close()
 
-        node.clients.refuse, node.clients.close = refuses, closes
-        assert await stop(site) and crossed
+        node.clients.refuse, node.clients.close = refuse_and_connect, close_once_acquired
+        assert await stop(site) and finished
 
     site.run(scene)
 
 
 @pytest.mark.parametrize("how", ["come without end", "say nothing", "read nothing"])
 def test_no_client_keeps_what_ends_meanwhile_from_the_ledger(site, monkeypatch, how):
-    """The last round is taken, and what connects is called back, whatever clients do; who was accepted with a
-    request has its answer."""
-    soon(monkeypatch)
-    site.violations = how == "read nothing"  # its answer never gets as far as the kernel
-    monkeypatch.setattr("juniperlanding.net.node.LAST_WORDS", 2.2)  # they would be waited for for 2.5 s
+    """Whatever clients do, the last iteration runs and calls that still connect are recalled. A client whose
+    connection was accepted gets the answer to its request."""
+    shorten_drain(monkeypatch)
+    site.violations = how == "read nothing"  # its answer is never even written to the socket
+    # Less than the 2.5 s for which such clients would be waited for.
+    monkeypatch.setattr("juniperlanding.net.node.LAST_WORDS", 2.2)
     monkeypatch.setattr("juniperlanding.net.node.LAST_ANSWERED", 1.0, raising=False)
-    monkeypatch.setattr(ends, "LAST_REST_WITHIN", 60.0)
-    socks, accepted, withdrawn, send, accept = [], [], [], Line.send, Listener.accept
-    asks = b"" if how == "say nothing" else handed("X-Trace-Id: a1")
+    monkeypatch.setattr(clients_module, "LAST_REST_WITHIN", 60.0)
+    sockets, accepted, withdrawn, send, accept = [], [], [], Line.send, Listener.accept
+    request = b"" if how == "say nothing" else handed("X-Trace-Id: a1")
 
-    def come():
+    def connect():
         with suppress(ConnectionRefusedError):
-            socks.append(socket.create_connection(site.address))
-            socks[-1].sendall(asks)
+            sockets.append(socket.create_connection(site.address))
+            sockets[-1].sendall(request)
 
-    async def accepts(listener):
+    async def accept_and_connect_again(listener):
         sock, peer = await accept(listener)
         accepted.append(peer)
         if how == "come without end":
-            come()
+            connect()
         return sock, peer
 
-    monkeypatch.setattr(Listener, "accept", accepts)
+    monkeypatch.setattr(Listener, "accept", accept_and_connect_again)
 
-    async def unread(line, *events):
+    async def send_unless_unread(line, *events):
         if how == "read nothing" and line.http.our_role is h11.SERVER:
             await trio.sleep_forever()
         await send(line, *events)
 
-    monkeypatch.setattr(Line, "send", unread)
+    monkeypatch.setattr(Line, "send", send_unless_unread)
 
     async def scene(site):
         node = await site.start()
         await site.until(lambda: node.owner.ready)
         refuse, withdraw = node.clients.refuse, node.owner.endpoints.withdraw
 
-        async def withdraws():
+        async def record_withdraw():
             await withdraw()
             withdrawn.append(node.owner.parked.is_set())
 
-        def refuses():
+        def refuse_and_connect():
             refuse()
-            come()
+            connect()
 
-        node.clients.refuse, node.owner.endpoints.withdraw = refuses, withdraws
+        node.clients.refuse, node.owner.endpoints.withdraw = refuse_and_connect, record_withdraw
         assert await stop(site)
         assert withdrawn == [True] and accepted
         if how == "come without end":
-            for sock in socks:
+            for sock in sockets:
                 sock.setblocking(False)
-                if sock.getsockname() in accepted:  # who stood in the backlog at the end is reset
+                if sock.getsockname() in accepted:  # one that was in the backlog at the end is reset
                     stream = trio.SocketStream(trio.socket.from_stdlib_socket(sock))
                     assert await heard(stream) == 503
 
@@ -364,22 +368,22 @@
 
 
 def test_an_outcome_that_no_round_has_taken_counts_at_the_end(site, monkeypatch):
-    soon(monkeypatch)
+    shorten_drain(monkeypatch)
 
     async def scene(site):
-        node, held = await site.start(), []
+        node, outcomes = await site.start(), []
         close = node.close
 
-        async def keep(*fields):
-            held.append(fields)
+        async def keep_outcome(*fields):
+            outcomes.append(fields)
 
-        def closing():
-            node.owner.queue.send_nowait((node.owner.finished, held[0]))
+        def queue_outcome_and_close():
+            node.owner.queue.send_nowait((node.owner.finished, outcomes[0]))
             return close()
 
-        node.owner.endpoints.told, node.close = keep, closing
+        node.owner.endpoints.told, node.close = keep_outcome, queue_outcome_and_close
         assert await site.submit("a1", "order") == 202
-        await site.until(lambda: held)
+        await site.until(lambda: outcomes)
         assert await stop(site)
         node.release()
         assert not owed(site)
@@ -392,11 +396,12 @@
 
 @pytest.mark.parametrize("before", [b"", ANSWER[:9], ANSWER[:30]])
 def test_an_answer_that_lies_unread_as_the_process_ends_counts(site, before):
-    """Nothing of it, half its first line, half its head were read; what of it is true comes as we end."""
+    """Before, none of it, half of its status line or half of its header was read; more arrives as the process
+    ends, and by then its status line is whole."""
 
     async def scene(site):
-        far = await site.nursery.start(trio.serve_tcp, attend, 0)
-        site.far.address = far[0].socket.getsockname()[:2]
+        listeners = await site.nursery.start(trio.serve_tcp, attend, 0)
+        site.far.address = listeners[0].socket.getsockname()[:2]
         node = await site.start()
         assert await site.submit("a1", "order") == 202
         await site.until(lambda: streams)
@@ -406,7 +411,7 @@
         while call.line.sock.peek() is None:
             pass
         assert node.close()
-        await gone(site)
+        await end_process(site)
         assert not owed(site)
         node = await site.start()
         assert node.counters["restored"] == 0
@@ -425,7 +430,8 @@
 
 @pytest.mark.parametrize("kind, again", [("news", True), ("order", False)])
 def test_a_push_that_is_out_as_the_process_ends_may_have_run(site, kind, again):
-    """SIGTERM or SIGKILL: what may be repeated is, what may not is given up, by the ledger's word alone."""
+    """After SIGTERM or SIGKILL, the ledger alone decides: a repeatable push is sent again, a once-only one is
+    given up."""
 
     async def scene(site):
         await site.start()
@@ -451,7 +457,7 @@
         await site.until(lambda: node.owner.ready)
         write, killed = node.ledger.files.write, []
 
-        def struck(file, data):
+        def write_and_kill(file, data):
             size = write(file, data) if step == "after the write" else 0
             if not killed:
                 killed.append(True)
@@ -459,7 +465,7 @@
                 raise OSError(5, "killed")
             return size
 
-        node.ledger.files.write = struck
+        node.ledger.files.write = write_and_kill
         await stream.send_all(handed("X-Trace-Id: a1"))
         assert await heard(stream) in (None, "reset")
         del node.ledger.files.write
@@ -478,7 +484,7 @@
         assert await site.submit("a1", dest=8, ttl=100) == 202
         await site.until(lambda: node.owner.notices.due)
         assert node.close()
-        await gone(site)
+        await end_process(site)
         assert owed(site)["a1"].notice
         site.platform.notice_status = 204
         node = await site.start()
--- a/tests/test_same_id.py
+++ b/tests/test_same_id.py
@@ -1,24 +1,25 @@
-"""The same id twice at the same time: each client hears what holds for both."""
+"""One id submitted twice at the same time: each client gets the answer that holds for both."""
 
 import trio
 
 from juniperlanding.net.owner import Answer
 
 
-def handed_in(owner, name, ttl_at):
-    answer = Answer(name)
+def submit(owner, ntf_id, ttl_at):
+    answer = Answer(ntf_id)
     assert owner.tell_now(owner.submit, "news", 8, ttl_at, "", b"x", answer)
     return answer
 
 
 def test_two_of_one_id_in_one_round_are_refused_together(site):
-    """The second would hear yes for what was refused in the same round, and nobody would owe it an end."""
+    """The second would otherwise get a 202 for what the same iteration rejects, and never an outcome."""
 
     async def scene(site):
         node = await site.start()
         await site.until(lambda: node.owner.ready)
-        soon = node.owner.now() + 1_000_000  # too late to arrive: ended in the round that takes it on
-        answers = [handed_in(node.owner, "a0", soon) for _ in range(2)]
+        # With 1 ms left it cannot arrive in time: it is ended in the iteration that accepts it.
+        ttl_at = node.owner.now() + 1_000_000
+        answers = [submit(node.owner, "a0", ttl_at) for _ in range(2)]
         for answer in answers:
             await answer.ready.wait()
         assert [answer.status for answer in answers] == [503, 503] and not node.ledger.owed
@@ -27,18 +28,18 @@
 
 
 def test_a_yes_that_one_of_two_heard_is_not_taken_back_for_the_other(site, monkeypatch):
-    """The first one's connection is gone as its answer comes; the second one's is not."""
+    """The first client's connection is lost as its answer is sent; the second client's is not."""
 
     async def scene(site):
         node = await site.start()
         owner, respond = node.owner, node.clients.respond
 
-        async def gone(line, status, *rest, **more):
+        async def lose_connection(line, status, *rest, **more):
             monkeypatch.setattr(node.clients, "respond", respond)
-            assert await site.submit("a0", dest=8, ttl=600) == 202  # the same once more, elsewhere
+            assert await site.submit("a0", dest=8, ttl=600) == 202  # the same id, on another connection
             raise trio.BrokenResourceError
 
-        monkeypatch.setattr(node.clients, "respond", gone)
+        monkeypatch.setattr(node.clients, "respond", lose_connection)
         stream = await site.client()
         await stream.send_all(
             b"POST /api HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a0\r\nX-Qos: news\r\nX-Expires-In-Ms: 600\r\n"
