--- a/tests/test_held.py
+++ b/tests/test_held.py
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("topic", ["news", "order", "pay"])
 def test_past_its_time_it_is_told_once_and_not_sent_again(site, topic):
-    """When the answer came can no longer be told: a superfluous notice does no harm, a lost outcome would."""
+    """When the answer came is no longer known: a superfluous notice does no harm, a lost outcome would."""
     assert suspended_while_the_answer_comes(site, topic, TTL + 0.4) == ["given_up"]
     assert sent(site) == ["a0"]
 
