--- a/juniperlanding/net/__init__.py
+++ b/juniperlanding/net/__init__.py
@@ -1,1 +1,1 @@
-"""The dispatcher on sockets: HTTP/1.1 in front of the decision module, on trio and h11."""
+"""The dispatcher's I/O around the decision module: HTTP/1.1 on trio and h11, the ledger, and hand-over."""
--- a/juniperlanding/net/clients.py
+++ b/juniperlanding/net/clients.py
@@ -1,4 +1,4 @@
-"""Clients: the listening socket, their connections, and the answer to each request."""
+"""The HTTP server for clients: accepts connections, reads requests and answers them."""
 
 import h11
 import trio
@@ -13,9 +13,9 @@
 from juniperlanding.net.owner import Answer
 from juniperlanding.net.system_errors import AcceptErrors, Concerns, concerns, name
 
-TURNED_AWAY = ("closed_by_us", "silent")  # ends of connections on which no answer is owed
+NO_RESPONSE_DUE = ("closed_by_us", "silent")  # end reasons of connections that are owed no response
 ENDED_BY_US = (
-    *TURNED_AWAY,
+    *NO_RESPONSE_DUE,
     "closed",
     "fault",
     "ended",
@@ -26,27 +26,36 @@
     "ambiguous",
     "too_late",
 )
-ROOM = 8  # connections over the limit; they make others give way, and are closed after their answer
-# Seconds in which a new connection's request, or the rest of one, still comes as the connection gives way to
-# another one, and as the process ends.
-REST_WITHIN, LAST_REST_WITHIN = 0.02, 0.1
-MAKE_ROOM_EVERY = 0.05  # seconds between two idle connections that are closed because accepting fails
-LAST_ACCEPTS = 0.05  # seconds for those in the backlog, as the process ends and accepting fails
+# Connections accepted beyond the limit: each evicts a waiting one, and is closed after its response.
+ROOM = 8
+# Seconds that a new connection's request, or the rest of a request, still has to arrive: when the connection
+# is evicted, and when the process ends.
+REST_WITHIN = 0.02
+LAST_REST_WITHIN = 0.1
+FREE_INTERVAL = 0.05  # least seconds between two connections closed because accepting fails
+BACKLOG_TIMEOUT = 0.05  # seconds to empty the backlog when the process ends and accepting fails
 
 
 class Clients:
-    def __init__(self, config, clock, most_open, owner, counters, log):
+    def __init__(self, config, clock, max_connections, owner, counters, log):
         self.now = clock.now
-        self.owner, self.counters, self.log, self.most_open = owner, counters, log, most_open
-        self.attended = {}  # open connections with who is at their other end
-        self.open, self.waiting, self.draining = 0, {}, False  # waiting: the scope of each wait for a request
-        self.came = 0  # connections accepted
-        self.turned_away, self.closing = {}, False  # turned away: the scope in which it is still listened to
-        self.connection_limit = trio.Semaphore(most_open + ROOM)
-        # Once frozen, whoever is between answers is carried over to the process that takes over.
+        self.owner = owner
+        self.counters = counters
+        self.log = log
+        self.max_connections = max_connections
+        self.peers = {}  # open connection -> its peer's address
+        self.open = 0  # number of open connections
+        self.waiting = {}  # connection -> cancel scope of its wait for a request, longest wait first
+        self.draining = False
+        self.came = 0  # connections accepted so far
+        self.lingering = {}  # connection that is owed no response -> cancel scope of its lingering close
+        self.closing = False
+        self.connection_limit = trio.Semaphore(max_connections + ROOM)
+        # Once frozen for a hand-over, connections between requests are carried over to the receiver.
+        # leaving: the connections in their lingering close.
         self.frozen, self.carried, self.leaving, self.accepting = False, [], set(), trio.CancelScope()
         self.accepts_nobody = trio.Event()
-        self.accept_errors, self.made_room_at = AcceptErrors(), float("-inf")
+        self.accept_errors, self.freed_at = AcceptErrors(), float("-inf")
 
     async def listen(self, listener, nursery):
         self.nursery = nursery
@@ -57,44 +66,46 @@
             self.accepts_nobody.set()
 
     async def close(self, listener):
-        """Nobody is accepted any more, and who comes is refused.
+        """Stop accepting, and close the listening socket.
 
-        Threats: the task that accepts just got a place, goes on after one step more, and waits on a closed
-        number: a crash; who came since its last look stands in the backlog, and the close resets it."""
+        Closing while the accepting task still runs would crash it: it may just have got capacity, and would
+        then wait on a closed file descriptor. Connections that arrived since its last accept are in the
+        backlog, and would be reset by the close, so they are accepted first."""
         self.accepting.cancel()
         await self.accepts_nobody.wait()
-        with trio.move_on_after(LAST_ACCEPTS):
+        with trio.move_on_after(BACKLOG_TIMEOUT):
             await self.accept_backlog(listener)
         listener.close()
 
     async def accept_backlog(self, listener):
-        """Take on who has connected already.  One that failed must not have the others reset."""
+        """Accept the connections in the backlog; a failure on one must not get the others reset."""
         while self.connection_limit.value:
             try:
-                come = listener.waiting()
+                accepted = listener.waiting()
             except OSError as error:
                 await self.accept_failed(error)
                 continue
-            if not come:
+            if not accepted:
                 break
             self.connection_limit.acquire_nowait()
-            self.take(*come)
+            self.add_connection(*accepted)
 
-    def inherit(self, nursery, lines):
-        """Go on with another process's clients, (line, seconds left for its request) each; no more than there
-        are places for."""
-        for line, within in lines:
+    def inherit(self, nursery, connections):
+        """Serve connections that another process handed over; those beyond the limit are closed.
+
+        connections: (connection, seconds left for its request) of each."""
+        for connection, within in connections:
             try:
-                peer = line.sock.peer()
+                peer = connection.sock.peer()
                 self.connection_limit.acquire_nowait()
             except (OSError, trio.WouldBlock):
-                line.close()
+                connection.close()
                 continue
             self.open += 1
-            nursery.start_soon(self.attend, line, peer, within)
+            nursery.start_soon(self.attend, connection, peer, within)
 
     def freeze(self):
-        """Accept nobody, read nothing further; what is being answered still is."""
+        """Stop accepting and reading, for a hand-over; requests that were read are still answered."""
         self.frozen = True
         self.accepting.cancel()
         for scope in self.waiting.values():
@@ -103,21 +114,21 @@
     def settled(self):
         return self.frozen and self.open == len(self.carried) + len(self.leaving)
 
-    def take(self, sock, peer):
+    def add_connection(self, sock, peer):
         self.came += 1
         self.open += 1
-        if self.crowded():
+        if self.is_over_limit():
             self.evict()
         self.nursery.start_soon(self.attend, Line(sock, h11.SERVER), peer)
 
     async def accept(self, listener):
         while True:
-            if not self.connection_limit.value and self.turned_away:
-                next(iter(self.turned_away.values())).cancel()  # it is owed nothing, and the next one waits
-            # Threat: a connection that is accepted and then closed unanswered loses its request.
+            if not self.connection_limit.value and self.lingering:
+                next(iter(self.lingering.values())).cancel()  # it is owed nothing, and a new client waits
+            # Wait for capacity before accepting: a connection that is accepted and closed loses its request.
             await self.connection_limit.acquire()
             try:
-                come = await listener.accept()
+                accepted = await listener.accept()
             except trio.Cancelled:
                 self.connection_limit.release()
                 raise
@@ -126,259 +137,277 @@
                 await self.accept_failed(error)
                 continue
             self.accept_errors.succeeded()
-            self.take(*come)
+            self.add_connection(*accepted)
 
     async def accept_failed(self, error):
-        """Count and log a failed accept, make room where that helps, and wait until the next may succeed."""
+        """Count and log a failed accept, free resources if that may help, and back off."""
         self.counters[f"accept_errors_{name(error)}"] += 1
         if self.accept_errors.is_news(error, trio.current_time()):
             self.log("accept", why=described(error), **system(error).fields)
         if concerns(error) is Concerns.RESOURCES:
-            self.make_room()
+            self.free_resources()
         await trio.sleep(self.accept_errors.pause(error))
 
-    def make_room(self):
-        """The process or machine has nothing left for one more connection: an idle one goes, now and then.
+    def free_resources(self):
+        """Close one idle connection, since the process or machine has no resources for another one.
 
-        Failures that come and go would otherwise close all that are kept."""
+        At most one per `FREE_INTERVAL`: intermittent failures would otherwise close all idle connections."""
         now = trio.current_time()
-        if now < self.made_room_at + MAKE_ROOM_EVERY:
+        if now < self.freed_at + FREE_INTERVAL:
             return
-        self.made_room_at = now
-        if self.turned_away:
-            next(iter(self.turned_away.values())).cancel()
+        self.freed_at = now
+        if self.lingering:
+            next(iter(self.lingering.values())).cancel()
         elif not self.owner.endpoints.evict():
             self.evict()
 
-    def crowded(self):
-        return self.open - len(self.turned_away) > self.most_open
+    def is_over_limit(self):
+        return self.open - len(self.lingering) > self.max_connections
 
     def evict(self):
-        """Threats: clients keep connections that they do not use, or never finish what they ask.
-
-        Of those that owe us a request, the one that has done so longest goes; where half of them or more are
-        idle, the first of those of whom nothing came.  Threats: idle clients that come back push out whoever
-        is within a long request; a crowd of half requests pushes out whoever is about to ask."""
-        goes, idle = next(iter(self.waiting), None), [line for line in self.waiting if not line.raw]
+        """Make one connection that waits for a request give up its place.
+
+        Clients that keep unused connections, or never finish a request, would otherwise use up the limit. The
+        connection that has waited longest is evicted; if at least half of the waiting ones are idle, the
+        first idle one without unread bytes. That way idle clients that reconnect don't evict clients in the
+        middle of a long request, and many unfinished requests don't evict clients about to send one."""
+        victim = next(iter(self.waiting), None)
+        idle = [connection for connection in self.waiting if not connection.raw]
         if 2 * len(idle) >= len(self.waiting):
-            goes = next((line for line in idle if not line.waiting()), goes)
-        if goes:
-            self.give_way(goes, REST_WITHIN)
-
-    def give_way(self, line, rest_within):
-        """No request is waited for any more.  Threats: one that has begun would be cut off unanswered; a new
-        client's first bytes are still under way."""
-        scope, now = self.waiting.pop(line), trio.current_time()
-        if line.raw:
+            victim = next((connection for connection in idle if not connection.waiting()), victim)
+        if victim:
+            self.cut_wait_short(victim, REST_WITHIN)
+
+    def cut_wait_short(self, connection, rest_within):
+        """Stop waiting for a request, at once on an idle connection.
+
+        A request that has begun, and the first bytes on a new connection, which may still be under way, get
+        `rest_within` seconds; they would otherwise be cut off without a response."""
+        scope = self.waiting.pop(connection)
+        now = trio.current_time()
+        if connection.raw:
             scope.deadline = min(scope.deadline, now + rest_within)
-        elif line.came_at + rest_within <= now:
+        elif connection.opened_at + rest_within <= now:
             scope.cancel()
         else:
-            scope.deadline = min(scope.deadline, line.came_at + rest_within)
+            scope.deadline = min(scope.deadline, connection.opened_at + rest_within)
 
     def drain(self):
-        """No connection is kept after its next answer; those between requests are ended now."""
+        """Close each connection after its next response, and those that wait for a request now."""
         self.draining = True
-        for line in list(self.waiting):
-            self.give_way(line, LAST_REST_WITHIN)
+        for connection in list(self.waiting):
+            self.cut_wait_short(connection, LAST_REST_WITHIN)
 
     def refuse(self):
-        """The last moments: what comes now is not taken on any more, and told so."""
+        """Refuse further submissions with 503, because the process is about to end."""
         self.closing = True
 
     def busy(self):
-        """How many are between their request and their answer."""
+        """The number of connections between request and response."""
         return self.open - len(self.waiting) - len(self.leaving) - len(self.carried)
 
-    async def attend(self, line, peer, within=protocol.REQUEST_WITHIN):
-        reason, served, line.until = "closed", 0, trio.current_time() + within
-        self.attended[line] = peer
+    async def attend(self, connection, peer, within=protocol.REQUEST_WITHIN):
+        reason, served, connection.until = "closed", 0, trio.current_time() + within
+        self.peers[connection] = peer
         try:
             while reason == "closed":
-                reason = "carried" if self.frozen else await self.one(line, line.until)
-                if reason == "closed":  # between requests a client may wait
-                    served, line.until = served + 1, float("inf")
-            if reason in TURNED_AWAY:
-                with trio.CancelScope() as self.turned_away[line]:
-                    self.leaving.add(line)
+                reason = "carried" if self.frozen else await self.serve_request(connection, connection.until)
+                if reason == "closed":  # no time limit between requests
+                    served, connection.until = served + 1, float("inf")
+            if reason in NO_RESPONSE_DUE:
+                with trio.CancelScope() as self.lingering[connection]:
+                    self.leaving.add(connection)
                     if self.connection_limit.statistics().tasks_waiting and not any(
-                        scope.cancel_called for scope in self.turned_away.values()
+                        scope.cancel_called for scope in self.lingering.values()
                     ):
-                        self.turned_away[line].cancel()  # as in `accept`, which waits by now
-                    await line.finish()
+                        self.lingering[connection].cancel()  # `accept` waits for capacity by now
+                    await connection.finish()
         except trio.Cancelled:
-            reason = "process_ends"  # `count_unanswered` has looked before
+            reason = "process_ends"  # already checked by `count_unanswered`
             raise
         except GONE as error:
             reason = type(error).__name__
-        except Exception as error:  # threat: one odd client must not end the program
+        except Exception as error:  # an error on one connection must not end the program
             reason = "fault"
             self.log("fault", part="client", why=described(error), at_line=where(error))
         finally:
-            self.attended.pop(line, None)
+            self.peers.pop(connection, None)
             if reason == "carried":
-                self.carried.append(line)
+                self.carried.append(connection)
             else:
-                self.turned_away.pop(line, None)
-                self.leaving.discard(line)
+                self.lingering.pop(connection, None)
+                self.leaving.discard(connection)
                 self.open -= 1
                 self.connection_limit.release()
                 if reason != "process_ends":
-                    self.check_end(line, peer, reason)
-                line.close()
+                    self.check_close(connection, peer, reason)
+                connection.close()
                 self.log("conn", client=f"{peer[0]}:{peer[1]}", end=reason, requests=served)
 
-    def check_end(self, line, peer, reason):
-        """Count a connection that we end while the answer to a whole request is due.
+    def check_close(self, connection, peer, reason):
+        """Count a violation if we close a connection whose complete request has no response yet.
 
-        Not ours: it broke, its client reads nothing, or the process itself ends."""
-        facts = rules.CloseFacts(is_request_whole=line.is_request_whole, is_answered=line.is_answered)
+        Connections that broke, or whose client doesn't read, don't count."""
+        facts = rules.CloseFacts(
+            is_request_whole=connection.is_request_whole, is_answered=connection.is_answered
+        )
         if reason in ENDED_BY_US and not rules.may_close(facts).is_allowed:
             client = "{}:{}".format(*peer)
             self.owner.trace.violation(rules.Rule.CLOSED_UNANSWERED, client, end=reason)
 
     def count_unanswered(self):
-        """The process ends now: whoever waits for the answer to a whole request is counted."""
-        for line, peer in self.attended.items():
-            self.check_end(line, peer, "process_ends")
+        """Count each connection with a complete request and no response, as the process ends now."""
+        for connection, peer in self.peers.items():
+            self.check_close(connection, peer, "process_ends")
 
-    async def begin(self, line, until):
-        """Wait for the first bytes of a request; the reason why none will be read, or None.
-
-        Threat: they come in the very moment in which we give up; then they are read."""
-        came = False
+    async def wait_for_request(self, connection, until):
+        """Wait for the first bytes of a request; the reason why none will be read, or None."""
+        has_data = False
         with trio.CancelScope(deadline=until) as scope:
-            self.waiting[line], line.until = scope, until
+            self.waiting[connection], connection.until = scope, until
             try:
-                came = await line.begin()
+                has_data = await connection.begin()
             finally:
-                gave_way = self.waiting.pop(line, None) is None
+                is_cut_short = self.waiting.pop(connection, None) is None
         if scope.cancelled_caught:
             if self.frozen:
                 return "carried"
-            if rules.may_close(rules.CloseFacts(has_unread=bool(line.waiting()))).is_allowed:
-                return "closed_by_us" if gave_way else "silent"
-            came = await line.begin()
-        # Threat: half a request, or a byte now and then, and its error is due.
-        line.gives_way = gave_way and not self.draining
-        rest_within = REST_WITHIN if line.gives_way else LAST_REST_WITHIN
-        within = rest_within if gave_way else protocol.REQUEST_WITHIN
-        line.until = min(max(until, trio.current_time() + LAST_REST_WITHIN), trio.current_time() + within)
-        return None if came else "ended"
-
-    async def one(self, line, until):
-        """Read one request and answer it; the reason to end the connection, or 'closed' to go on."""
+            # Bytes that arrived at the same moment as the cancellation are still read.
+            if rules.may_close(rules.CloseFacts(has_unread=bool(connection.waiting()))).is_allowed:
+                return "closed_by_us" if is_cut_short else "silent"
+            has_data = await connection.begin()
+        # The rest of the request has its own time limit: a client that sends half of it, or a byte now and
+        # then, gets an error response within that time.
+        connection.is_evicted = is_cut_short and not self.draining
+        rest_within = REST_WITHIN if connection.is_evicted else LAST_REST_WITHIN
+        within = rest_within if is_cut_short else protocol.REQUEST_WITHIN
+        connection.until = min(
+            max(until, trio.current_time() + LAST_REST_WITHIN), trio.current_time() + within
+        )
+        return None if has_data else "ended"
+
+    async def serve_request(self, connection, until):
+        """Read and answer one request; the reason to end the connection, or 'closed' to keep it."""
         status, reason, request, body = 408, "slow", None, None
-        if why := await self.begin(line, until):
+        if why := await self.wait_for_request(connection, until):
             return why
         try:
-            with trio.CancelScope(deadline=line.until) as scope:
-                self.waiting[line] = scope  # the last in turn: it has done nothing for the least time
+            with trio.CancelScope(deadline=connection.until) as scope:
+                self.waiting[connection] = scope  # last in the order of eviction, since it was just active
                 try:
-                    request = await line.event()
+                    request = await connection.next_event()
                     if isinstance(request, h11.ConnectionClosed):
                         return "ended"
                     if int(dict(request.headers).get(b"content-length", 0)) <= protocol.MOST_BODY:
-                        body = await line.body(protocol.MOST_BODY)
+                        body = await connection.body(protocol.MOST_BODY)
                     status, reason = 413, "too_long"
                 finally:
-                    gave_way = self.waiting.pop(line, None) is None or line.gives_way
+                    is_cut_short = self.waiting.pop(connection, None) is None or connection.is_evicted
                     if body is not None:
-                        line.raw.clear()  # whole, so it is answered here
+                        connection.raw.clear()  # complete, so it is answered here and not handed over
         except h11.RemoteProtocolError as error:
             status, reason = error.error_status_hint, "malformed"
         if scope.cancelled_caught and self.frozen:
             return "carried"
-        if scope.cancelled_caught and gave_way:
-            if line.waiting():
-                # Threat: the rest is there by now, and a close over it would look as if we had it.
-                return await self.respond(line, 503, reason="too_late")
-            # Threat: who writes in pieces sees an end with no answer, and its request counts as lost.
+        if scope.cancelled_caught and is_cut_short:
+            if connection.waiting():
+                # The rest has arrived by now; a close without a response would look as if we had accepted it.
+                return await self.respond(connection, 503, reason="too_late")
+            # A client that sends its request in pieces would take a close without a response for a loss.
             with trio.move_on_after(protocol.PATIENCE):
-                await self.say(line, 503, last=True)
+                await self.send_response(connection, 503, last=True)
             return "closed_by_us"
         if body is None or reason == "malformed":
-            return await self.respond(line, status, reason=reason)
-        if protocol.ambiguous(request.headers) or line.more():
-            # Threat: another request hidden behind or within this one; one at a time is the rule.
-            return await self.respond(line, 400, reason="ambiguous")
-        return await self.answer(line, request, body)
+            return await self.respond(connection, status, reason=reason)
+        if protocol.is_ambiguous(request.headers) or connection.has_excess_data():
+            # Another request may be hidden behind or within this one; pipelining is not supported.
+            return await self.respond(connection, 400, reason="ambiguous")
+        return await self.handle(connection, request, body)
 
-    async def say(self, line, status, headers=(), payload=b"", last=False):
+    async def send_response(self, connection, status, headers=(), payload=b"", last=False):
         headers = [*headers, ("Content-Length", str(len(payload)))]
         self.counters[f"answers_{status}"] += 1
-        await line.send(
+        await connection.send(
             h11.Response(status_code=status, headers=headers + [("Connection", "close")] * last),
             h11.Data(data=payload),
             h11.EndOfMessage(),
         )
 
-    async def respond(self, line, status, headers=(), payload=b"", reason="closed"):
-        last = reason != "closed" or self.draining or self.crowded()
+    async def respond(self, connection, status, headers=(), payload=b"", reason="closed"):
+        last = reason != "closed" or self.draining or self.is_over_limit()
         with trio.move_on_after(protocol.REQUEST_WITHIN) as scope:
-            await self.say(line, status, headers, payload, last)
-            if last or not line.reusable():
-                # Threat: a byte that comes behind the last request turns our close into a reset, which takes
-                # the answer with it; also where the client was to end it (HTTP/1.0, `Connection: close`).
-                self.leaving.add(line)
-                await line.finish()
+            await self.send_response(connection, status, headers, payload, last)
+            if last or not connection.reusable():
+                # Unread bytes behind the last request would turn our close into a reset, which discards the
+                # response; also where the client ends the connection (HTTP/1.0, `Connection: close`).
+                self.leaving.add(connection)
+                await connection.finish()
         if scope.cancelled_caught:
             return "not_read"
-        if last or not line.reusable():
+        if last or not connection.reusable():
             return reason if reason != "closed" else "last_answer"
-        line.next()
+        connection.next()
         return "closed"
 
-    async def answer(self, line, request, body):
+    async def handle(self, connection, request, body):
         path = request.target.partition(b"?")[0]
-        if request.method == b"GET" and path == protocol.READY:
-            well = self.owner.ready and not self.draining and self.owner.licensed(self.owner.in_force)
-            return await self.respond(line, 200 if well else 503)
-        if request.method == b"GET" and path == protocol.COUNTERS:
-            return await self.respond(line, 200, payload=self.counters.text().encode())
-        if path != protocol.SUBMIT:
-            return await self.respond(line, 404)
+        if request.method == b"GET" and path == protocol.HEALTH_PATH:
+            is_healthy = self.owner.ready and not self.draining and self.owner.licensed(self.owner.in_force)
+            return await self.respond(connection, 200 if is_healthy else 503)
+        if request.method == b"GET" and path == protocol.COUNTERS_PATH:
+            return await self.respond(connection, 200, payload=self.counters.text().encode())
+        if path != protocol.SUBMIT_PATH:
+            return await self.respond(connection, 404)
         if request.method != b"POST":
-            return await self.respond(line, 405)
-        return await self.submit(line, dict(request.headers), body, request.target)
+            return await self.respond(connection, 405)
+        return await self.submit(connection, dict(request.headers), body, request.target)
 
-    async def submit(self, line, headers, body, target=b""):
+    async def submit(self, connection, headers, body, target=b""):
         self.counters["handed_in"] += 1
         try:
-            ntf_id, topic = protocol.name(headers[protocol.ID]), protocol.text(headers[protocol.TOPIC])
-            ttl_at = self.now() + protocol.left(headers[protocol.TTL])
-            destination = protocol.destination(headers[protocol.WHERE])
-            key = protocol.name(headers[protocol.KEY]) if protocol.KEY in headers else ""
-            keys = protocol.turn(target), protocol.text(headers.get(protocol.TENANT, b""))
+            ntf_id = protocol.parse_name(headers[protocol.ID_HEADER])
+            topic = protocol.decode_text(headers[protocol.TOPIC_HEADER])
+            ttl_at = self.now() + protocol.parse_ttl(headers[protocol.TTL_HEADER])
+            destination = protocol.parse_destination(headers[protocol.DESTINATION_HEADER])
+            key = (
+                protocol.parse_name(headers[protocol.IDEMPOTENCY_KEY_HEADER])
+                if protocol.IDEMPOTENCY_KEY_HEADER in headers
+                else ""
+            )
+            keys = (
+                protocol.parse_ordering_key(target),
+                protocol.decode_text(headers.get(protocol.TENANT_HEADER, b"")),
+            )
         except (KeyError, ValueError):
-            return await self.respond(line, 400)
+            return await self.respond(connection, 400)
         if topic not in self.owner.topics:
-            return await self.respond(line, 400)
+            return await self.respond(connection, 400)
         answer = Answer(ntf_id)
-        # Threat: we stood still, and the client has left and hands it in elsewhere.
+        # After the process was suspended, the client may have left and submitted it to another dispatcher.
         verdict = rules.may_take_on(
             rules.TakeOnFacts(
                 is_ready=self.owner.ready,
                 is_writable=not self.owner.stuck,
                 is_stopping=self.closing,
-                has_client_left=line.waiting() == b"",
+                has_client_left=connection.waiting() == b"",
             )
         )
         event = self.owner.submit, topic, destination, ttl_at, key, body, answer, *keys
         if verdict.is_allowed and not self.owner.tell_now(*event):
-            verdict = rules.Verdict(rules.Reason.NO_PLACE)  # in the queue
+            verdict = rules.Verdict(rules.Reason.NO_PLACE)  # the owner's queue is full
         if not verdict.is_allowed:
             self.owner.trace.refused(ntf_id, verdict.reason)
             self.counters.ended(topic, DECLINED)
-            return await self.respond(line, 503)
+            return await self.respond(connection, 503)
         await answer.ready.wait()
-        more = [("Retry-After", f"{answer.again_in / SEC:.3f}")] if answer.again_in else []
+        extra_headers = [("Retry-After", f"{answer.again_in / SEC:.3f}")] if answer.again_in else []
         if self.owner.licence is not None and answer.took and answer.status == 202:
-            more = [(protocol.POLICY, str(answer.under))]
+            extra_headers = [(protocol.POLICY, str(answer.under))]
         try:
-            return await self.respond(line, answer.status, more)
+            return await self.respond(connection, answer.status, extra_headers)
         except GONE:
-            # Threat: the same id once more, unheard, takes back what the first client was told yes for.
+            # Withdraw the notification only if this request got it accepted: a repeated request with the same
+            # id that goes unheard must not withdraw what the first one got a 202 for.
             if answer.took and answer.status == 202:
                 await self.owner.tell(self.owner.unheard, answer)
             raise
--- a/juniperlanding/net/discovery.py
+++ b/juniperlanding/net/discovery.py
@@ -1,4 +1,4 @@
-"""Follows discovery's list by a watch while the module wants it, and tells when that breaks."""
+"""Follows discovery's list of endpoints by long polls (watches) while the decision module asks for it."""
 
 import json
 
@@ -9,29 +9,40 @@
 from juniperlanding.net import protocol
 from juniperlanding.net.line import connect
 
-LIST_SHARE = 32  # of the memory, one part in so many may be a list's text: its objects take far more
-LEAST_WAIT, MOST_WAIT = 1_000, 60_000  # milliseconds that a watch may ask for; the least is ours
-BRIEF = 1  # milliseconds that a call after a failure may wait
-LATE = 1.0  # seconds after a watch's wait to ask anew, before what it missed counts as told
-REREAD = 4.0  # seconds until a list of which a part could not be read is asked for again, whole
+LIST_MEMORY_SHARE = 32  # a list's text may be 1/32 of the memory, since its objects take far more
+MIN_WATCH_MS = 1_000  # least wait of a watch; our own bound
+MAX_WATCH_MS = 60_000  # longest wait that a watch may ask for
+RETRY_WATCH_MS = 1  # wait of a call after a failure
+# Seconds that a connect may take, or an answer beyond its watch's wait. The next call then comes before the
+# changes that this one missed count as known here.
+ANSWER_MARGIN = 1.0
+REREAD_DELAY = 4.0  # seconds until a list with unreadable entries is asked for again as a whole
 
 
 class Discovery:
-    def __init__(self, config, network, news, log):
-        self.network, self.address, self.news, self.log = network, config.discovery, news, log
-        self.kinds, self.zones, self.most_list = config.kinds, config.zones, config.memory // LIST_SHARE
-        self.revision = config.known.get("revision")  # 0 is one too
-        # Threat: a setting of nothing, where lists are pushed; and the platform is asked without end.
+    def __init__(self, config, network, on_news, log):
+        self.network = network
+        self.address = config.discovery
+        self.on_news = on_news
+        self.log = log
+        self.kinds = config.kinds
+        self.zones = config.zones
+        self.max_list_size = config.memory // LIST_MEMORY_SHARE
+        self.revision = config.known.get("revision")  # may be 0
+        # The setting may be 0 where lists are pushed; the platform would then be asked without pause.
         wait = config.settings.get("must_ask_in", 20 * SEC) // MS
-        self.wait = min(max(wait, LEAST_WAIT), MOST_WAIT)
-        self.failed = False  # since the last good answer
-        self.unread, self.reread_at = 0, float("inf")  # entries that could not be read; trio's time to ask
+        self.watch_ms = min(max(wait, MIN_WATCH_MS), MAX_WATCH_MS)
+        self.has_failed = False  # since the last good answer
+        # How many entries could not be read, and trio's time to ask for the whole list again.
+        self.unreadable, self.reread_at = 0, float("inf")
         known = protocol.entries(config.known.get("members", []), self.kinds, self.zones)
-        self.last = {entry[0]: (entry, address) for entry, address in known}  # as each was last read
+        self.last_read = {entry[0]: (entry, address) for entry, address in known}  # by endpoint
+        # wanted: set while the list is to be followed or fetched; whole: the next call asks for the whole
+        # list; on: the decision module is subscribed; scope: of the call under way.
         self.wanted, self.whole, self.on, self.scope = trio.Event(), False, False, trio.CancelScope()
 
     def inherit(self, revision, address):
-        """Go on where another process of ours stopped following; another address may number otherwise."""
+        """Continue where another process stopped; another address may number its revisions differently."""
         self.revision, self.whole = revision, tuple(address) != self.address
 
     def subscribe(self, on):
@@ -46,17 +57,17 @@
         self.wanted.set()
 
     def move(self, address):
-        """Ask anew there, at once: the whole list, since another address may number its lists in its own way.
+        """Ask a new address for the whole list at once, as it may number its revisions differently.
 
-        A watch that was under way told nothing yet, or is told again by that list."""
+        A watch under way is cancelled; the whole list has all that it could have reported."""
         self.address = address
         self.scope.cancel()
-        self.anew()
+        self.request_whole_list()
 
-    def anew(self):
+    def request_whole_list(self):
         self.whole = True
         if self.on:
-            self.wanted.set()  # threat: the old address failed, and the pause before asking again is long
+            self.wanted.set()  # don't wait for the end of a long pause after failures of the old address
 
     async def run(self):
         while True:
@@ -64,87 +75,101 @@
             with trio.CancelScope() as self.scope:
                 await self.follow()
             if self.scope.cancelled_caught:
-                self.anew()  # threat: what was being read when it moved has undone it
+                self.request_whole_list()  # an answer processed during the move may have reset the request
 
     async def follow(self):
-        line, reason = None, "not_wanted"
+        connection = None
+        reason = "not_wanted"
         try:
             while self.wanted.is_set():
-                if line and not line.quiet():
-                    line.close()
-                    line = None
-                line = line or await self.connected()
-                if not await self.ask(line):
-                    line.close()
-                    line = None
+                if connection and not connection.quiet():
+                    connection.close()
+                    connection = None
+                connection = connection or await self.connect()
+                if not await self.poll(connection):
+                    connection.close()
+                    connection = None
         except trio.Cancelled:
             reason = "moved" if self.scope.cancel_called else "stopped"
             raise
-        except Exception as error:  # threat: an odd list must not end the program, nor the watch for good
+        except Exception as error:  # a malformed list must end neither the program nor the watch for good
             reason = type(error).__name__
-            self.wanted, self.failed = trio.Event(), True
-            await self.news("failed", [])
+            self.wanted, self.has_failed = trio.Event(), True
+            await self.on_news("failed", [])
         finally:
-            if line:
-                line.close()
+            if connection:
+                connection.close()
             self.log("conn", peer="discovery", end=reason)
 
-    async def connected(self):
-        with trio.fail_after(LATE):
+    async def connect(self):
+        with trio.fail_after(ANSWER_MARGIN):
             return await connect(self.network, self.address)
 
-    async def ask(self, line):
-        """One watch, or the whole list; tells whether the connection can be used again."""
+    async def poll(self, connection):
+        """Make one watch, or fetch the whole list; whether the connection can be used again."""
         begun = trio.current_time()
         whole = self.whole or self.revision is None or begun >= self.reread_at
-        # Threat: a call after a failure is silent too, and may wait for long: what changed meanwhile counts
-        # as told 6 s after discovery had it.  So the next is brief, and a watch follows once it is answered.
-        wait = BRIEF if self.failed else int(min(self.wait, max((self.reread_at - begun) * 1000, BRIEF)))
+        # A call after a failure may go unanswered too. With a long wait that would be noticed too late, since
+        # a change counts as known here 6 s after discovery has it; so the wait is short, and a watch follows
+        # once the call is answered.
+        wait = (
+            RETRY_WATCH_MS
+            if self.has_failed
+            else int(min(self.watch_ms, max((self.reread_at - begun) * 1000, RETRY_WATCH_MS)))
+        )
         query = "" if whole else f"?index={self.revision}&wait={wait}"
-        with trio.fail_after(LATE + (0 if whole else wait / 1000)):
-            await line.send(
+        with trio.fail_after(ANSWER_MARGIN + (0 if whole else wait / 1000)):
+            await connection.send(
                 h11.Request(method="GET", target=protocol.LIST + query, headers=[("Host", "discovery")]),
                 h11.EndOfMessage(),
             )
-            if (await line.answer()).status_code != 200:
-                raise ValueError("no list")
-            body = await line.rest(self.most_list)  # threat: it dribbles for as long as we would wait
-        told = json.loads(body)
-        if not isinstance(told, dict) or not isinstance(told.get("members"), list):
-            raise ValueError("no list")
-        revision, complete, failed = int(told["revision"]), bool(told.get("complete")), self.failed
-        members = self.entries(told["members"], complete, whole)
-        self.whole = self.failed = False
-        if members or complete or failed:
-            # Threat: quiet watches that work again leave the failures counted, and the next break waits long.
-            await self.news("whole" if complete else "changes", members)
+            if (await connection.answer()).status_code != 200:
+                raise ValueError("discovery did not answer with status 200")
+            body = await connection.rest(self.max_list_size)  # has its own time limit, far below a watch's
+        answer = json.loads(body)
+        if not isinstance(answer, dict) or not isinstance(answer.get("members"), list):
+            raise ValueError("discovery's answer has no list of members")
+        revision, complete, had_failed = (
+            int(answer["revision"]),
+            bool(answer.get("complete")),
+            self.has_failed,
+        )
+        members = self.read_members(answer["members"], complete, whole)
+        self.whole = self.has_failed = False
+        if members or complete or had_failed:
+            # Also without changes if calls failed before: the decision module would otherwise keep counting
+            # the failures, and wait long after the next one.
+            await self.on_news("whole" if complete else "changes", members)
         before, self.revision = self.revision, revision
-        if not (whole or failed) and before == self.revision:
-            # Threat: a platform that answers at once with nothing new; the watch still goes on.
-            await trio.sleep_until(begun + protocol.WATCH_GAP / 2)
-        if line.reusable():
-            line.next()
+        if not (whole or had_failed) and before == self.revision:
+            # A platform may answer at once with nothing new; this pause is short enough to keep the watch.
+            await trio.sleep_until(begun + protocol.MAX_WATCH_GAP / 2)
+        if connection.reusable():
+            connection.next()
             return True
         return False
 
-    def entries(self, told, complete, asked):
-        """What can be read of a list; of an entry that cannot, what it was when it last could.
+    def read_members(self, members, complete, is_whole):
+        """The entries and addresses of a list's members; for one that cannot be read, the last that could.
 
-        Threat: an entry spoilt on its way; its endpoint would be gone, or stay in use though it drains."""
-        members = protocol.entries(told, self.kinds, self.zones)
-        read = {entry[0] for entry, _ in members}
-        odd = [one for one in told if not (isinstance(one, dict) and str(one.get("id")) in read)]
-        for one in odd:
-            if isinstance(one, dict) and (known := self.last.get(str(one.get("id")))):
+        If a member that is corrupted in transit were left out, its endpoint would count as gone, or stay in
+        use although it drains."""
+        found = protocol.entries(members, self.kinds, self.zones)
+        read = {entry[0] for entry, _ in found}
+        unreadable = [one for one in members if not (isinstance(one, dict) and str(one.get("id")) in read)]
+        for one in unreadable:
+            if isinstance(one, dict) and (known := self.last_read.get(str(one.get("id")))):
                 entry, address = known
-                state = protocol.STATES.get(str(one["phase"]), "draining") if "phase" in one else entry[-1]
-                members.append(((*entry[:-1], state), address))
-        if odd and len(odd) != self.unread:  # one line, however often it comes again
-            self.log("list", "entries cannot be read", entries=len(odd))
-        if odd:
-            self.unread, self.reread_at = len(odd), trio.current_time() + REREAD
-        elif complete or asked:
-            self.unread, self.reread_at = 0, float("inf")
-        last = ({} if complete else self.last) | {one[0][0]: one for one in members}
-        self.last = {name: one for name, one in last.items() if one[0][-1] != "gone"}
-        return members
+                state = (
+                    protocol.PHASE_STATES.get(str(one["phase"]), "draining") if "phase" in one else entry[-1]
+                )
+                found.append(((*entry[:-1], state), address))
+        if unreadable and len(unreadable) != self.unreadable:  # logged once while the number stays the same
+            self.log("list", "entries cannot be read", entries=len(unreadable))
+        if unreadable:
+            self.unreadable, self.reread_at = len(unreadable), trio.current_time() + REREAD_DELAY
+        elif complete or is_whole:
+            self.unreadable, self.reread_at = 0, float("inf")
+        last_read = ({} if complete else self.last_read) | {one[0][0]: one for one in found}
+        self.last_read = {name: one for name, one in last_read.items() if one[0][-1] != "gone"}
+        return found
--- a/juniperlanding/net/line.py
+++ b/juniperlanding/net/line.py
@@ -1,31 +1,36 @@
-"""One HTTP/1.1 connection: h11 parses heads where they arrive; a message leaves in one gathered write."""
+"""One HTTP/1.1 connection, as server or client: h11 parses, and each message leaves in one gathered write."""
 
 import h11
 import trio
 
-from juniperlanding.net.protocol import MOST_BODY, MOST_HEAD, may_begin_an_answer
+from juniperlanding.net.protocol import MOST_BODY, MOST_HEAD, may_begin_response
 
-CHUNK = 16 << 10
-ANSWER_WITHIN = 1.0  # seconds from an answer's first byte until its head has come, and then its body
-HOLD = 0.005  # seconds for which the last byte of a call is held back
-LINGER, MOST_LINGER = 0.25, 256 << 10  # seconds and bytes for which a closed client is still listened to
+READ_SIZE = 16 << 10
+ANSWER_WITHIN = 1.0  # seconds from a response's first byte to its complete head, and again for its body
+LAST_BYTE_DELAY = 0.005  # seconds for which the last byte of a call is held back
+# Seconds and bytes for which a connection is still read after our side has closed.
+LINGER = 0.25
+MAX_LINGER_BYTES = 256 << 10
 GONE = (OSError, trio.ClosedResourceError, trio.BrokenResourceError)
 
 
 class Line:
-    """`early`: bytes of the present message that another process of ours read before us."""
+    """A connection; `early` holds bytes of its current message that were read before a hand-over."""
 
     def __init__(self, sock, role, early=b""):
-        self.sock, self.early = sock, early
-        self.until = float("inf")  # trio's time at which the present request has to be whole
-        self.came_at, self.gives_way = trio.current_time(), False  # gives way: another one needs its place
-        self.raw = []  # what came of the present message, for a process that takes over from us
+        self.sock = sock
+        self.early = early
+        self.until = float("inf")  # deadline for the complete current request, in trio's time
+        # Evicted: another connection needs the capacity that this one takes.
+        self.opened_at, self.is_evicted = trio.current_time(), False
+        self.raw = []  # the bytes of the current message as they arrived, for a hand-over
         self.http = h11.Connection(role, max_incomplete_event_size=MOST_HEAD)
-        self.address = None  # that we connected to; not known of one that another process handed to us
-        self.used_at, self.head = 0, b""  # head: what came of an answer until its head could be read
+        self.address = None  # the address that we connected to; unknown after a hand-over
+        self.used_at = 0
+        self.head = b""  # the bytes of a response until its head is parsed
 
-    async def event(self):
-        """The next event of the other side, reading as needed."""
+    async def next_event(self):
+        """The peer's next event; reads from the socket as needed."""
         while (event := self.http.next_event()) is h11.NEED_DATA:
             if self.http.they_are_waiting_for_100_continue:
                 await self.send(h11.InformationalResponse(status_code=100, headers=[]))
@@ -33,27 +38,27 @@
         return event
 
     async def receive(self):
-        data, self.early = self.early or await self.sock.recv(CHUNK), b""
+        data, self.early = self.early or await self.sock.recv(READ_SIZE), b""
         self.raw.append(data)
         if self.http.our_role is h11.CLIENT and self.http.their_state is h11.SEND_RESPONSE:
             self.head += data
-            if not may_begin_an_answer(self.head):
-                raise h11.RemoteProtocolError("noise")
-            if len(self.head) > MOST_BODY:  # threat: interim answers without end, as fast as they go
-                raise h11.RemoteProtocolError("too long")
+            if not may_begin_response(self.head):
+                raise h11.RemoteProtocolError("response does not start with an HTTP version")
+            if len(self.head) > MOST_BODY:  # a peer could send interim responses for ever
+                raise h11.RemoteProtocolError("response head too long")
         self.http.receive_data(data)
         return bool(data)
 
     async def begin(self):
-        """Wait for the first bytes of a message; False when the other side ended instead."""
+        """Wait for the first bytes of a message; False if the peer closed the connection instead."""
         return bool(self.http.trailing_data[0]) or await self.receive()
 
     async def body(self, most):
-        """All of a body; None when it is longer than allowed."""
+        """The complete body of a message; None if it is longer than `most` bytes."""
         parts, size = [], 0
-        while not isinstance(event := await self.event(), h11.EndOfMessage):
+        while not isinstance(event := await self.next_event(), h11.EndOfMessage):
             if not isinstance(event, h11.Data):
-                raise h11.RemoteProtocolError("ended within a body")
+                raise h11.RemoteProtocolError("connection closed inside a message body")
             size += len(event.data)
             if size > most:
                 return None
@@ -61,50 +66,50 @@
         return b"".join(parts)
 
     async def answer(self):
-        """The head of the other side's final answer.  Threat: one that never ends."""
+        """The head of the final response; fails if it is not complete within `ANSWER_WITHIN`."""
         self.head = b""
         await self.begin()
         with trio.fail_after(ANSWER_WITHIN):
-            while isinstance(event := await self.event(), h11.InformationalResponse):
+            while isinstance(event := await self.next_event(), h11.InformationalResponse):
                 pass
         if not isinstance(event, h11.Response):
-            raise h11.RemoteProtocolError("ended without an answer")
+            raise h11.RemoteProtocolError("connection closed without a response")
         self.head = b""
         return event
 
     async def rest(self, most):
-        """The body of an answer.  Threat: one that does not fit its length, or keeps coming."""
+        """The body of a response; fails if it is too long or not complete within `ANSWER_WITHIN`."""
         with trio.fail_after(ANSWER_WITHIN):
             body = await self.body(most)
         if body is None:
-            raise h11.RemoteProtocolError("too long")
+            raise h11.RemoteProtocolError("response body too long")
         return body
 
-    def parts(self, events):
-        """The bytes of some events, as a gathered write takes them."""
+    def serialized(self, events):
+        """The bytes of some events, as buffers for a gathered write."""
         parts = []
         for event in events:
             parts += self.http.send_with_data_passthrough(event) or []
         return [memoryview(part) for part in parts if len(part)]
 
     async def send(self, *events):
-        """Write events as one gathered write; returns once the kernel has all of it."""
-        await self.write(self.parts(events))
+        """Write events in one gathered write; returns once the kernel has taken all bytes."""
+        await self.write(self.serialized(events))
 
     async def send_in_two(self, *events, leaves):
-        """The same, but the last byte waits for a moment in which the other side may break off; `leaves()` is
-        called right before it, and may still call it off by the scope around.
+        """As `send`, but hold the last byte back for a moment, so that a stale connection fails before it.
 
-        Threats: a kept connection that the other side gave up breaks at the first bytes, or carries some of
-        its own (half a line, a word of farewell) that would be read as the answer; as long as the last one
-        has not left, nothing has run."""
-        *parts, last = self.parts(events)
+        As long as the last byte has not left, the peer cannot have run the request. A kept connection that
+        the peer has given up breaks at the first bytes, or brings bytes that don't answer this request (part
+        of a line, a 408) and would be read as its response. `leaves()` is called right before the last byte,
+        and may still cancel the scope around."""
+        *parts, last = self.serialized(events)
         await self.write([*parts, last[:-1]])
-        with trio.move_on_after(HOLD):
+        with trio.move_on_after(LAST_BYTE_DELAY):
             await self.sock.readable()
-        came = self.waiting()
-        if came == b"" or came and self.used_at:
-            raise trio.BrokenResourceError("broke within the request")
+        unread = self.waiting()
+        if unread == b"" or unread and self.used_at:
+            raise trio.BrokenResourceError("connection broke before the request was complete")
         leaves()
         await self.write([last[-1:]])
 
@@ -117,7 +122,7 @@
                 parts[0] = parts[0][sent:]
 
     def whole(self):
-        """Whether the answer that came was read to its end already, with no need to wait for more."""
+        """Whether the response can be read to its end from the bytes received so far."""
         try:
             while self.http.their_state is h11.SEND_BODY:
                 if self.http.next_event() is h11.NEED_DATA:
@@ -134,39 +139,39 @@
         )
 
     def next(self):
-        """The present message is over; the next one may come."""
+        """Reset the state for the next request and response."""
         self.http.start_next_cycle()
         self.raw.clear()
 
     def waiting(self):
-        """What came and was not read yet: None for nothing, b"" for the end or a reset."""
+        """The bytes that arrived and were not read; None if there are none, b"" after a close or reset."""
         return self.early or self.sock.peek()
 
     def arrived(self):
-        """What came of an answer whose head could not be read yet, looked at or not."""
-        unread = self.sock.peek(CHUNK) if self.http.their_state is h11.SEND_RESPONSE else b""
+        """The bytes of a response whose head is not parsed yet, including unread ones."""
+        unread = self.sock.peek(READ_SIZE) if self.http.their_state is h11.SEND_RESPONSE else b""
         return self.head + (unread or b"")
 
     def unheard(self):
-        """Whether an answer waits of which nothing was read."""
+        """Whether a response has arrived of which nothing was read."""
         return self.http.their_state is h11.SEND_RESPONSE and not self.head and bool(self.waiting())
 
     def quiet(self):
-        """Whether nothing came on an idle connection: bytes that nobody asked for, or its end, spoil it."""
+        """Whether an idle connection is usable: no unsolicited bytes arrived, and the peer didn't close."""
         return self.waiting() is None
 
     @property
     def is_request_whole(self):
-        """Whether a client's present request was read to its last byte."""
+        """Whether the client's current request was read to its last byte."""
         return self.http.their_state in (h11.DONE, h11.MUST_CLOSE)
 
     @property
     def is_answered(self):
-        """Whether the whole answer to it went to the kernel."""
+        """Whether the kernel has taken the complete response to it."""
         return self.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE, h11.SEND_BODY)
 
-    def more(self):
-        """Whether more came than the message that was read."""
+    def has_excess_data(self):
+        """Whether bytes arrived beyond the message that was read."""
         return bool(self.http.trailing_data[0] or self.waiting())
 
     async def finish(self):
@@ -180,22 +185,23 @@
 
 
 async def linger(sock):
-    """End our sending, and listen on for a moment.
+    """Shut down our side, and read and discard for a moment until the peer closes too.
 
-    Threats: closing with bytes unread resets the connection and takes the last answer with it; some never
-    end, or have 60 MB to send.  However the other side ends, the answer itself is out already."""
+    To close with bytes unread would reset the connection and discard the last response. Time and size are
+    limited, since some peers never stop, or have 60 MB to send. However the peer ends, the response is
+    already out."""
     try:
         sock.finish()
         with trio.move_on_after(LINGER):
-            for _ in range(MOST_LINGER // CHUNK):
-                if not await sock.recv(CHUNK):
+            for _ in range(MAX_LINGER_BYTES // READ_SIZE):
+                if not await sock.recv(READ_SIZE):
                     break
     except GONE:
         pass
 
 
 async def connect(network, address):
-    """A new connection to (host, port), as a client's; it knows its address."""
+    """A new connection to (host, port), as a client."""
     line = Line(await network.connect(address), h11.CLIENT)
     line.address = address
     return line
--- a/juniperlanding/net/protocol.py
+++ b/juniperlanding/net/protocol.py
@@ -1,28 +1,47 @@
-"""The names and figures of the operators' HTTP protocol; nothing further in knows them."""
+"""Names, limits and parsers of the HTTP protocol with clients, endpoints and the platform."""
 
 from juniperlanding.choice import MS, SEC
 
-PATIENCE = 0.4  # seconds that a client waits for its answer; so long new connections come after SIGTERM
-REQUEST_WITHIN = 2.5  # seconds from connecting, or a later request's first byte, until all of it is there
-WATCH_GAP = 0.2  # seconds within which the next call keeps a watch going
-TIME_IS_UP = 150 * MS  # before our TTL; a client counts from its sending, we from our reading
-KILL_AFTER = 3.7  # seconds from SIGTERM until SIGKILL at the soonest
+# Seconds that a client waits for its response; new connections arrive for as long after SIGTERM.
+PATIENCE = 0.4
+REQUEST_WITHIN = 2.5  # seconds from connecting, or from a later request's first byte, to the complete request
+MAX_WATCH_GAP = 0.2  # seconds between two calls within which they count as one watch
+# A notification counts as expired this long before its TTL by our clock, since the client counts from its
+# sending, and we count from our reading.
+TIME_IS_UP = 150 * MS
+KILL_AFTER = 3.7  # least seconds from SIGTERM to SIGKILL
 MOST_BODY = 64 << 10
 MOST_HEAD = 16 << 10
-MOST_NAME = 256  # of an id or a key
+MAX_NAME_LENGTH = 256  # bytes of an id or a key
 
-READY, SUBMIT, COUNTERS = b"/_health", b"/api", b"/_counters"
-ANSWER = b"HTTP/1."
+HEALTH_PATH = b"/_health"
+SUBMIT_PATH = b"/api"
+COUNTERS_PATH = b"/_counters"
+RESPONSE_PREFIX = b"HTTP/1."
 ONE, MANY = "/v1/messages", "/v1/messages:batch"
 NOTICES, LIST = "/reports", "/catalog/members"
 
-ID, TOPIC, TTL, KEY, WHERE = b"x-trace-id", b"x-qos", b"x-expires-in-ms", b"idempotency-key", b"x-addressing"
-TENANT, TURN = b"x-customer", b"key="  # whose it is; in the target's query, by which it keeps its order
-ONCE = {ID, TOPIC, TTL, KEY, WHERE, TENANT, b"content-length", b"transfer-encoding"}
+ID_HEADER = b"x-trace-id"
+TOPIC_HEADER = b"x-qos"
+TTL_HEADER = b"x-expires-in-ms"
+IDEMPOTENCY_KEY_HEADER = b"idempotency-key"
+DESTINATION_HEADER = b"x-addressing"
+TENANT_HEADER = b"x-customer"
+ORDERING_KEY_PARAMETER = b"key="  # in the query; notifications with the same key are delivered in order
+AT_MOST_ONCE_HEADERS = {
+    ID_HEADER,
+    TOPIC_HEADER,
+    TTL_HEADER,
+    IDEMPOTENCY_KEY_HEADER,
+    DESTINATION_HEADER,
+    TENANT_HEADER,
+    b"content-length",
+    b"transfer-encoding",
+}
 POLICY = "x-policy-number"
 RETRY, REPORT, NO_SLOT = b"retry-after", b"endpoint-load-metrics", b"x-over-slots"
 
-STATES = {"in_service": "ready", "terminating": "draining", "terminated": "gone"}
+PHASE_STATES = {"in_service": "ready", "terminating": "draining", "terminated": "gone"}
 BATCH_ENDS = {
     "accepted": "delivered",
     "fault": "error",
@@ -32,63 +51,70 @@
 }
 GIVEN_UP, HANDED_BACK = "given_up", "handed_back"
 
-MOST_DIGITS = 8  # of a destination, or of a TTL in milliseconds: about a day
+MAX_DIGITS = 8  # of a destination, or of a TTL in milliseconds: about a day
 
 
-def destination(value):
-    """The number in `dest=7`, whatever else stands beside it."""
+def parse_destination(value):
+    """The number in `dest=7`, which may stand among other parameters."""
     for part in value.replace(b";", b",").split(b","):
         word, _, digits = part.strip().partition(b"=")
         if word == b"dest":
-            return number(digits)
-    raise ValueError("no destination")
+            return parse_digits(digits)
+    raise ValueError("no destination parameter `dest`")
 
 
-def turn(target):
-    """The key of `/api?key=1f`, after which a notification keeps its order; "" where there is none.
+def parse_ordering_key(target):
+    """The key in `/api?key=1f`, by which notifications are delivered in order; "" if there is none.
 
-    Threat: two keys, of which either may be meant."""
+    Two keys are rejected, since either may be meant."""
     parts = target.partition(b"?")[2].split(b"&")
-    found = [part.removeprefix(TURN) for part in parts if part.startswith(TURN)]
+    found = [
+        part.removeprefix(ORDERING_KEY_PARAMETER) for part in parts if part.startswith(ORDERING_KEY_PARAMETER)
+    ]
     if len(found) > 1:
-        raise ValueError("two keys")
-    return name(found[0]) if found else ""
+        raise ValueError("more than one ordering key")
+    return parse_name(found[0]) if found else ""
 
 
-def left(value):
+def parse_ttl(value):
     """A client's TTL in nanoseconds."""
-    return number(value) * MS
+    return parse_digits(value) * MS
+
 
+def parse_digits(value):
+    """A plain decimal number of at most `MAX_DIGITS` digits.
 
-def number(value):
-    """Threat: signs, gaps and other alphabets' digits, which `int` takes; figures that no clock holds."""
-    if not value.isdigit() or len(value) > MOST_DIGITS:
-        raise ValueError("no whole number")
+    Stricter than `int`, which also takes signs, spaces, other alphabets' digits, and numbers too large for
+    any clock."""
+    if not value.isdigit() or len(value) > MAX_DIGITS:
+        raise ValueError("not a plain decimal number")
     return int(value)
 
 
-def name(value):
-    if not 0 < len(value) <= MOST_NAME:
-        raise ValueError("no name")
+def parse_name(value):
+    if not 0 < len(value) <= MAX_NAME_LENGTH:
+        raise ValueError("name empty or too long")
     return value.decode("latin-1")
 
 
-def text(value):
-    """A topic type or a tenant as the settings name it, in UTF-8; threat: a client that writes Latin-1."""
+def decode_text(value):
+    """A topic type or a tenant, which the settings have in UTF-8; some clients send Latin-1."""
     try:
         return value.decode()
     except UnicodeDecodeError:
         return value.decode("latin-1")
 
 
-def ambiguous(headers):
-    """Threats: two lengths that may hide another request; two ids or TTLs, of which either may be meant."""
-    once = [word for word, _ in headers if word in ONCE]
+def is_ambiguous(headers):
+    """Whether a header that may occur once is repeated, or both kinds of body length are given.
+
+    Two lengths may hide another request; of two ids or TTLs, either may be meant."""
+    once = [word for word, _ in headers if word in AT_MOST_ONCE_HEADERS]
     return len(once) > len(set(once)) or {b"content-length", b"transfer-encoding"} <= set(once)
 
 
 def wait(value):
-    """Seconds, whole or decimal, as nanoseconds; 0 for what cannot be read."""
+    """The nanoseconds of a `Retry-After` in whole or decimal seconds; 0 if it cannot be read."""
     try:
         seconds = float(value)
     except ValueError:
@@ -96,39 +122,39 @@
     return int(seconds * SEC) if 0 < seconds < 1 << 30 else 0
 
 
-def figure(value):
-    """Threat: a limit that is endless, negative or no number at all would stop every decision about it."""
+def parse_decimal(value):
+    """A finite number that is not negative; any other limit would stop all decisions that depend on it."""
     number = float(value)
     if not 0 <= number < 1 << 40:
-        raise ValueError("out of range")
+        raise ValueError("number out of range")
     return number
 
 
 def report(value, names):
-    """The figures of `TEXT x0=0.4, x1=25` under the module's names."""
+    """The figures of a load report, `TEXT x0=0.4, x1=25`, under the names that `names` maps them to."""
     found = {}
     for part in value.decode("latin-1").partition(" ")[2].split(","):
         name, _, number = part.strip().partition("=")
         try:
             if name in names:
-                found[names[name]] = figure(number)
+                found[names[name]] = parse_decimal(number)
         except ValueError:
             continue
     return found
 
 
-def may_begin_an_answer(head):
-    return head.startswith(ANSWER[: len(head)])
+def may_begin_response(head):
+    return head.startswith(RESPONSE_PREFIX[: len(head)])
 
 
 def says_delivered(head):
-    """Whether the first line of an answer says 200; interim answers in front of it are passed over.
+    """Whether a response's first line says 200, after any interim responses.
 
-    Threat: an answer spoilt further on; the line is true all the same."""
-    while head.startswith(ANSWER + b"1 1"):
+    The rest of the response may be malformed; the status still holds."""
+    while head.startswith(RESPONSE_PREFIX + b"1 1"):
         head = head.partition(b"\r\n\r\n")[2]
     first, end, _ = head.partition(b"\r\n")
-    return bool(end) and first.startswith((ANSWER + b"1 200 ", ANSWER + b"0 200 "))
+    return bool(end) and first.startswith((RESPONSE_PREFIX + b"1 200 ", RESPONSE_PREFIX + b"0 200 "))
 
 
 def address(text):
@@ -137,9 +163,9 @@
 
 
 def entries(members, kinds, zones):
-    """(endpoint, destination, kind, scale, zone, state) and the address of each entry that can be read.
+    """((endpoint, destination, kind, scale, zone, state), address) of each member that can be read.
 
-    Threat: an entry of a newer form; it is left out, and a phase never heard of takes nothing new."""
+    A member in a newer form is left out; one in an unknown phase counts as draining: no new pushes."""
     read = []
     for member in members:
         try:
@@ -148,9 +174,9 @@
                 str(member["id"]),
                 int(member["cell"]),
                 kinds.index(kind) if kind in kinds else len(kinds),
-                figure(member.get("size", 0)),
+                parse_decimal(member.get("size", 0)),
                 zones.index(zone) if zone in zones else len(zones),
-                STATES.get(member.get("phase"), "draining"),
+                PHASE_STATES.get(member.get("phase"), "draining"),
             )
             read.append((entry, address(member["host_port"])))
         except (KeyError, ValueError, TypeError, AttributeError):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -259,7 +259,7 @@
 
 @pytest.mark.parametrize("kept, endings", [(True, ["delivered", "delivered"]), (False, ["unreachable"])])
 def test_a_connection_that_breaks_at_the_first_bytes_has_run_nothing(site, kept, endings, monkeypatch):
-    outcomes, whole, hold = [], [], net_line.HOLD
+    outcomes, whole, hold = [], [], net_line.LAST_BYTE_DELAY
 
     def elsewhere(listener):
         """Answers its first connection once if asked to, then resets at the next bytes; serves the second."""
@@ -273,7 +273,7 @@
                     sock.sendall(http(200))
                 if breaks:
                     sock.recv(4096)
-                    net_line.HOLD = hold  # for the connection after this one
+                    net_line.LAST_BYTE_DELAY = hold  # for the connection after this one
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 if breaks and not kept:
                     return
@@ -285,7 +285,9 @@
         with in_a_thread(elsewhere, calls):
             for number in "ab"[: len(endings)]:
                 # The last byte waits until the connection broke, however long a busy machine takes for that.
-                monkeypatch.setattr(net_line, "HOLD", hold if kept and number == "a" else float("inf"))
+                monkeypatch.setattr(
+                    net_line, "LAST_BYTE_DELAY", hold if kept and number == "a" else float("inf")
+                )
                 calls.start(site.nursery, "s-1", [send(number)])
                 await site.until(lambda: not calls.out)
         assert [told[2] for told in outcomes] == endings and len(whole) == len(endings) * kept
--- a/tests/test_standing_bytes.py
+++ b/tests/test_standing_bytes.py
@@ -20,7 +20,7 @@
 from juniperlanding.choice import SEC
 from juniperlanding.ground import seams
 from juniperlanding.net import clients as ends
-from juniperlanding.net.line import CHUNK, Line
+from juniperlanding.net.line import READ_SIZE, Line
 from juniperlanding.standins.peers import http, read_message
 
 PIECES = 7  # bytes in each
@@ -201,7 +201,7 @@
             await site.until(lambda: not calls.out and gone)
         assert [told[2] for told in outcomes] == ["reset"]
         assert not calls.idle and calls.connection_limit.value == 8
-        assert max(kept) < (64 << 10) + CHUNK
+        assert max(kept) < (64 << 10) + READ_SIZE
 
     site.run(scene)
 
@@ -232,7 +232,7 @@
     """Old clients send a line end behind a body; a close over it would be a reset."""
     monkeypatch.setattr("juniperlanding.net.protocol.REQUEST_WITHIN", 0.3)
     monkeypatch.setattr(ends.Clients.attend, "__defaults__", (0.3,))
-    whole, behind = ends.Clients.say, []
+    whole, behind = ends.Clients.send_response, []
 
     async def say(clients, line, *fields, **named):
         behind.pop().send(b"\r\n")  # its request was read
@@ -240,7 +240,7 @@
             pass
         return await whole(clients, line, *fields, **named)
 
-    monkeypatch.setattr(ends.Clients, "say", say)
+    monkeypatch.setattr(ends.Clients, "send_response", say)
 
     async def scene(site):
         node, stream = await site.start(), await site.client()
@@ -331,7 +331,7 @@
             assert await end(stream) == [400]
         await site.until(lambda: node.clients.came == 1 and not node.clients.open)
         assert not node.counters["handed_in"] and not node.counters["taken_on"] and not site.far.got
-        limit = node.clients.most_open + ends.ROOM
+        limit = node.clients.max_connections + ends.ROOM
         assert node.clients.connection_limit.value == limit - 1  # for who comes next
 
     site.run(scene)
