--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""The dispatcher on sockets, against loopback stand-ins: one strain a test."""
+"""The dispatcher on loopback sockets, against stand-ins for its endpoints and the platform."""
 
 import json
 import os
@@ -61,7 +61,8 @@
 
 def test_connections_are_kept_for_one_call_at_a_time(site):
     async def scene(site):
-        node, stream = await site.start(), await site.client()
+        node = await site.start()
+        stream = await site.client()
         for number in "abc":
             assert await site.submit(number, stream=stream) == 202
             await site.until(lambda: not node.ledger.owed)
@@ -71,20 +72,20 @@
 
 
 def test_several_in_a_call_each_get_their_own_end(site):
-    ends = {"b": "accepted", "c": "fault", "d": "deferred", "e": "expired"}
+    state_by_id = {"b": "accepted", "c": "fault", "d": "deferred", "e": "expired"}
     outcomes = []
 
     def answer(first, headers, body):
         if first.startswith("POST /v1/messages:batch"):
-            told = [{"id": item["id"], "state": ends.get(item["id"])} for item in json.loads(body)]
-            return http(200, json.dumps(told).encode())
+            states = [{"id": item["id"], "state": state_by_id.get(item["id"])} for item in json.loads(body)]
+            return http(200, json.dumps(states).encode())
         return http(200)
 
     async def scene(site):
         calls = await endpoints(site, outcomes)
         calls.start(site.nursery, "s-1", [send(number) for number in "bcdef"])
         await site.until(lambda: len(outcomes) == 5)
-        assert [(told[0], told[2], told[5]) for told in outcomes] == [
+        assert [(outcome[0], outcome[2], outcome[5]) for outcome in outcomes] == [
             ("b", "delivered", True),
             ("c", "error", False),
             ("d", "throttled", False),
@@ -100,20 +101,29 @@
 
     async def scene(site):
         calls = await endpoints(site, outcomes)
-        a, b = CLOCK.now() + SEC, CLOCK.now() + 2 * SEC
-        calls.start(site.nursery, "s-1", [Send("a", 0, "", b"", a, a, a), Send("b", 0, "", b"", b, b, b)])
+        first_end = CLOCK.now() + SEC
+        second_end = CLOCK.now() + 2 * SEC
+        calls.start(
+            site.nursery,
+            "s-1",
+            [
+                Send("a", 0, "", b"", first_end, first_end, first_end),
+                Send("b", 0, "", b"", second_end, second_end, second_end),
+            ],
+        )
         await site.until(lambda: site.far.got)
-        time.sleep(max(0, (a - CLOCK.now()) / SEC))  # past the time of one, and of it alone
+        # Blocks this process past the first end, but not the second.
+        time.sleep(max(0, (first_end - CLOCK.now()) / SEC))
         assert not outcomes
         await site.until(lambda: outcomes)
         assert len(outcomes) == 1
         await site.until(lambda: len(outcomes) == 2)
-        assert [told[:3] for told in outcomes] == [("a", 0, "timeout"), ("b", 0, "timeout")]
+        assert [outcome[:3] for outcome in outcomes] == [("a", 0, "timeout"), ("b", 0, "timeout")]
 
     site.run(scene, silent)
 
 
-# ---- what an answer proves
+# ---- the outcome that a response proves
 
 
 @pytest.mark.parametrize(
@@ -167,7 +177,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
         b"\x93\xac\xc5\r\n",
         b"HTTP/1.1 200 x\r\nno colon\r\n\r\n",
@@ -177,7 +187,7 @@
         http(200, b'[{"id":[],"state":{}}]'),
     ],
 )
-def test_a_spoilt_answer_to_several_may_have_run_and_ends_its_connection_at_once(site, spoilt):
+def test_a_spoilt_answer_to_several_may_have_run_and_ends_its_connection_at_once(site, malformed):
     outcomes = []
 
     async def scene(site):
@@ -185,9 +195,9 @@
         calls.start(site.nursery, "s-1", [send("a"), send("b")])
         async with site.even.within(0.5):
             await site.until(lambda: len(outcomes) == 2)
-        assert {told[2] for told in outcomes} == {"reset"} and calls.connection_limit.value == 8
+        assert {outcome[2] for outcome in outcomes} == {"reset"} and calls.connection_limit.value == 8
 
-    site.run(scene, lambda *message: spoilt)
+    site.run(scene, lambda *message: malformed)
 
 
 def test_an_answer_that_keeps_coming_ends_its_connection_and_not_the_delivery(site):
@@ -199,7 +209,7 @@
         await site.until(lambda: outcomes)
         async with site.even.within(2):
             await site.until(lambda: calls.connection_limit.value == 8)
-        assert [told[2] for told in outcomes] == ["delivered"]
+        assert [outcome[2] for outcome in outcomes] == ["delivered"]
 
     site.run(scene, lambda *message: b"HTTP/1.1 200 x\r\nContent-Length: 3000000000\r\n\r\nx")
 
@@ -224,30 +234,32 @@
         for number in "ab":
             calls.start(site.nursery, "s-1", [send(number)])
             await site.until(lambda: not calls.out)
-        assert [told[2] for told in outcomes] == endings
+        assert [outcome[2] for outcome in outcomes] == endings
 
     site.run(scene, answer)
 
 
 def send(number, wait=SEC):
-    """One part of a call, whose time-out is over after `wait`."""
+    """One notification of a call, which times out after `wait`."""
     now = CLOCK.now()
     return Send(number, 0, "", b"x", now + wait, now + SEC, now + wait)
 
 
 async def endpoints(site, outcomes, most_open=8):
-    calls = Endpoints(site.config(), system(), most_open, partial(told_by, outcomes), Counters(), site.log)
+    calls = Endpoints(
+        site.config(), system(), most_open, partial(record_outcomes, outcomes), Counters(), site.log
+    )
     calls.book["s-1"] = site.far.address
     return calls
 
 
-async def told_by(outcomes, endpoint, told, heard):
-    outcomes.extend(told)
+async def record_outcomes(outcomes, endpoint, ended, heard):
+    outcomes.extend(ended)
 
 
 @contextmanager
-def in_a_thread(serve, calls):
-    """An endpoint that goes on while the program stands still; `serve` gets its listening socket."""
+def endpoint_in_thread(serve, calls):
+    """An endpoint in a thread, so that it runs while the test blocks; `serve` gets its listening socket."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         thread = threading.Thread(target=serve, args=(listener,))
         thread.start()
@@ -259,21 +271,23 @@
 
 @pytest.mark.parametrize("kept, endings", [(True, ["delivered", "delivered"]), (False, ["unreachable"])])
 def test_a_connection_that_breaks_at_the_first_bytes_has_run_nothing(site, kept, endings, monkeypatch):
-    outcomes, whole, hold = [], [], net_line.LAST_BYTE_DELAY
+    outcomes = []
+    requests = []
+    delay = net_line.LAST_BYTE_DELAY
 
-    def elsewhere(listener):
-        """Answers its first connection once if asked to, then resets at the next bytes; serves the second."""
+    def serve(listener):
+        """Answers once on the first connection if `kept`, then resets it; serves the second one."""
         for breaks in (True, False):
             with listener.accept()[0] as sock:
                 if kept or not breaks:
-                    came = sock.recv(4096)
-                    while not came.endswith(b"\r\n\r\nx") and (more := sock.recv(4096)):
-                        came += more
-                    whole.append(came)
+                    request = sock.recv(4096)
+                    while not request.endswith(b"\r\n\r\nx") and (more := sock.recv(4096)):
+                        request += more
+                    requests.append(request)
                     sock.sendall(http(200))
                 if breaks:
                     sock.recv(4096)
-                    net_line.LAST_BYTE_DELAY = hold  # for the connection after this one
+                    net_line.LAST_BYTE_DELAY = delay  # back to the usual delay for the second connection
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 if breaks and not kept:
                     return
@@ -282,15 +296,15 @@
 
     async def scene(site):
         calls = await endpoints(site, outcomes)
-        with in_a_thread(elsewhere, calls):
+        with endpoint_in_thread(serve, calls):
             for number in "ab"[: len(endings)]:
-                # The last byte waits until the connection broke, however long a busy machine takes for that.
+                # The last byte is held back until the connection broke, however long that takes.
                 monkeypatch.setattr(
-                    net_line, "LAST_BYTE_DELAY", hold if kept and number == "a" else float("inf")
+                    net_line, "LAST_BYTE_DELAY", delay if kept and number == "a" else float("inf")
                 )
                 calls.start(site.nursery, "s-1", [send(number)])
                 await site.until(lambda: not calls.out)
-        assert [told[2] for told in outcomes] == endings and len(whole) == len(endings) * kept
+        assert [outcome[2] for outcome in outcomes] == endings and len(requests) == len(endings) * kept
 
     site.run(scene)
 
@@ -334,7 +348,7 @@
         calls.start(site.nursery, "s-1", [send("b")])
         calls.recall({"s-1"})
         await site.until(lambda: outcomes)
-        assert [told[:3] for told in outcomes] == [("b", 0, "moot")]
+        assert [outcome[:3] for outcome in outcomes] == [("b", 0, "moot")]
         assert len(site.far.got) == 1
 
     site.run(scene, silent)
@@ -343,7 +357,7 @@
 def test_an_answer_that_came_while_we_stood_still_counts(site):
     outcomes = []
 
-    def elsewhere(listener):
+    def serve(listener):
         with listener.accept()[0] as sock:
             sock.recv(4096)
             time.sleep(0.05)
@@ -352,10 +366,10 @@
 
     async def scene(site):
         calls = await endpoints(site, outcomes)
-        with in_a_thread(elsewhere, calls):
+        with endpoint_in_thread(serve, calls):
             calls.start(site.nursery, "s-1", [send("a", SEC // 10)])
             await site.until(lambda: ("a", 0) in calls.out and calls.out["a", 0].written)
-            time.sleep(0.2)  # the whole process stands still, past the time-out
+            time.sleep(0.2)  # blocks this process past the time-out
             await site.until(lambda: outcomes)
         assert outcomes[0][2] == "delivered"
 
@@ -364,26 +378,27 @@
 
 @pytest.mark.parametrize("answer, ending", [(http(200), "delivered"), (http(500), "error"), (b"", "timeout")])
 def test_an_answer_that_came_before_our_first_look_at_it_counts(site, monkeypatch, answer, ending):
-    outcomes, write = [], Line.write
+    outcomes = []
+    write = Line.write
 
-    def elsewhere(listener):
+    def serve(listener):
         with listener.accept()[0] as sock:
             sock.recv(4096)
             sock.sendall(answer)
             with suppress(OSError):
                 sock.recv(4096)
 
-    async def and_stand_still(line, parts):
-        last = len(parts) == 1 and len(parts[0]) == 1
+    async def write_and_block(line, parts):
+        is_last_byte = len(parts) == 1 and len(parts[0]) == 1
         await write(line, parts)
-        if last:
-            time.sleep(0.2)  # the last byte has left; the time-out passes before its answer is looked for
+        if is_last_byte:
+            time.sleep(0.2)  # the last byte has left; the time-out passes before the response is read
             await trio.lowlevel.cancel_shielded_checkpoint()
 
     async def scene(site):
         calls = await endpoints(site, outcomes)
-        monkeypatch.setattr(Line, "write", and_stand_still)
-        with in_a_thread(elsewhere, calls):
+        monkeypatch.setattr(Line, "write", write_and_block)
+        with endpoint_in_thread(serve, calls):
             calls.start(site.nursery, "s-1", [send("a", SEC // 10)])
             await site.until(lambda: outcomes)
         assert outcomes[0][2] == ending
@@ -391,8 +406,8 @@
     site.run(scene)
 
 
-@pytest.mark.parametrize("spoil", ["unasked", "old"])
-def test_a_spoilt_idle_connection_is_not_used_again(site, spoil):
+@pytest.mark.parametrize("cause", ["unasked", "old"])
+def test_a_spoilt_idle_connection_is_not_used_again(site, cause):
     outcomes = []
 
     async def scene(site):
@@ -403,9 +418,9 @@
             await site.until(lambda: 8 - calls.connection_limit.value == len(calls.idle.get("s-1", [])))
             for idle in calls.idle.get("s-1", []):
                 idle.used_at -= 9.6 * SEC
-        assert [told[2] for told in outcomes] == ["delivered"] * 2 and site.far.connections == 2
+        assert [outcome[2] for outcome in outcomes] == ["delivered"] * 2 and site.far.connections == 2
 
-    site.run(scene, lambda *message: http(200) + (http(200) if spoil == "unasked" else b""))
+    site.run(scene, lambda *message: http(200) + (http(200) if cause == "unasked" else b""))
 
 
 def test_idle_connections_make_room_and_close_when_asked(site):
@@ -418,7 +433,7 @@
         for number, endpoint in (("a", "s-1"), ("b", "s-2")):
             calls.start(site.nursery, endpoint, [send(number)])
             await site.until(lambda: not calls.out)
-        assert [told[2] for told in outcomes] == ["delivered"] * 2 and calls.connection_limit.value == 0
+        assert [outcome[2] for outcome in outcomes] == ["delivered"] * 2 and calls.connection_limit.value == 0
         calls.close_idle("s-2")
         assert calls.connection_limit.value == 1
 
@@ -436,7 +451,7 @@
         calls.start(site.nursery, "s-1", [send("c")])
         site.far.answer = lambda *message: http(200)
         await site.until(lambda: len(outcomes) == 3)
-        assert [told[2] for told in outcomes] == ["moot", "timeout", "delivered"]
+        assert [outcome[2] for outcome in outcomes] == ["moot", "timeout", "delivered"]
 
     site.run(scene, silent)
 
@@ -446,18 +461,18 @@
     async def scene(site):
         node = await site.start()
         await site.until(lambda: node.owner.ready)
-        with socket.socket() as full:  # connections to it hang: its queue of one is taken
-            full.bind(("127.0.0.1", 0))
-            full.listen(0)
-            others = [await trio.open_tcp_stream(*full.getsockname())]
-            node.owner.endpoints.book["s-1"] = full.getsockname()
+        with socket.socket() as listener:  # connections to it hang, since its backlog of one is full
+            listener.bind(("127.0.0.1", 0))
+            listener.listen(0)
+            queued = [await trio.open_tcp_stream(*listener.getsockname())]
+            node.owner.endpoints.book["s-1"] = listener.getsockname()
             assert await site.submit("a1", "order") == 202
             await site.until(lambda: node.owner.endpoints.out)
-            news = protocol.entries([member(1, full.getsockname(), phase)], ["m1"], ["a"])
+            news = protocol.entries([member(1, listener.getsockname(), phase)], ["m1"], ["a"])
             await node.owner.tell(node.owner.listed, "changes", news)
             await site.until(lambda: node.counters["pushes_moot"])
-            # One push of it, called back: it never left, and the folder knows of none.
-            assert node.owner.at.me.notifications["a1"].pushes == 1 and others
+            # The push was called back before it left, so the ledger has no record of it.
+            assert node.owner.at.me.notifications["a1"].pushes == 1 and queued
             assert not node.ledger.owed["a1"].pushes and not owed(site)["a1"].pushes
 
     site.run(scene)
@@ -514,8 +529,8 @@
     site.run(scene)
 
 
-@pytest.mark.parametrize("spoil", [b"", b'0badc0de ["e","a1"]\n', b"\xff\xfe\n\n"])
-def test_a_torn_last_record_is_skipped(tmp_path, spoil):
+@pytest.mark.parametrize("garbage", [b"", b'0badc0de ["e","a1"]\n', b"\xff\xfe\n\n"])
+def test_a_torn_last_record_is_skipped(tmp_path, garbage):
     ledger = Ledger(tmp_path, 1 << 20)
     ledger.take("a1", "news", 7, 5 * SEC, "", b"hello")
     ledger.flush()
@@ -525,10 +540,10 @@
         content = file.read()
         file.truncate(len(content) - 9)
         file.seek(0, os.SEEK_END)
-        file.write(spoil)
-    again = Ledger(tmp_path, 1 << 20)
-    assert list(again.owed) == ["a1"] and again.skipped >= 1
-    again.close()
+        file.write(garbage)
+    reopened = Ledger(tmp_path, 1 << 20)
+    assert list(reopened.owed) == ["a1"] and reopened.skipped >= 1
+    reopened.close()
     assert Books().load(tmp_path / "ledger").skipped == 0
 
 
@@ -537,9 +552,9 @@
     ledger.take("a1", "news", 7, 5 * SEC, "", b"hello")
     ledger.pending += [line(record) for record in (["z"], 7, ["p", "a1"], ["t", "a2"], {"e": "a1"})]
     ledger.close()
-    again = Ledger(tmp_path, 1 << 20)
-    assert list(again.owed) == ["a1"] and again.skipped == 5
-    again.close()
+    reopened = Ledger(tmp_path, 1 << 20)
+    assert list(reopened.owed) == ["a1"] and reopened.skipped == 5
+    reopened.close()
 
 
 def test_never_ran_and_may_have_run_survive_compaction(tmp_path):
@@ -562,7 +577,9 @@
 
 
 def test_the_folder_stays_within_its_disk_and_new_work_is_refused_first(tmp_path):
-    disk, ledger, most = 200_000, Ledger(tmp_path, 200_000), 0
+    disk = 200_000
+    ledger = Ledger(tmp_path, 200_000)
+    largest = 0
     for number in range(3000):
         if ledger.room(300):
             ledger.take(f"a{number}", "news", 7, SEC, "", b"x" * 300)
@@ -571,8 +588,8 @@
         if number > 100 and number % 3 and ledger.owed:
             ledger.write("e", next(iter(ledger.owed)))
         ledger.flush()
-        most = max(most, ledger.file_size + ledger.most_owed + ledger.most_over)
-    assert most < disk and 10 < len(ledger.owed) < 200 and not ledger.room(60_000)
+        largest = max(largest, ledger.file_size + ledger.most_owed + ledger.most_over)
+    assert largest < disk and 10 < len(ledger.owed) < 200 and not ledger.room(60_000)
     assert list(Books().load(tmp_path / "ledger").owed) == list(ledger.owed)
 
 
@@ -581,12 +598,12 @@
     while ledger.room(600):
         ledger.take(f"a{len(ledger.owed)}", "news", 7, SEC, "", b"x" * 600)
         ledger.write("p", f"a{len(ledger.owed) - 1}", 0, 0, 1)
-    before = ledger.owed_size
+    size_before = ledger.owed_size
     ledger.close()
-    again = Ledger(tmp_path, 200_000)
-    assert again.most_owed / 2 < again.file_size < again.most_owed and not again.room(600)
-    assert abs(again.owed_size - before) < len(again.owed) * 2
-    again.close()
+    reopened = Ledger(tmp_path, 200_000)
+    assert reopened.most_owed / 2 < reopened.file_size < reopened.most_owed and not reopened.room(600)
+    assert abs(reopened.owed_size - size_before) < len(reopened.owed) * 2
+    reopened.close()
 
 
 @pytest.mark.parametrize("left, notices", [(0.5, []), (0.1, ["a1"]), (-0.1, ["a1"])])
@@ -610,10 +627,10 @@
 def test_when_the_disk_fails_nothing_leaves_and_clients_are_refused(site):
     async def scene(site):
         node = await site.start()
-        whole, node.ledger.added = node.ledger.added, broken
+        added, node.ledger.added = node.ledger.added, fail_to_write
         assert await site.submit("a1") == 503
-        assert await site.submit("a1") == 503  # at once, though the owner waits for the disk
-        node.ledger.added = whole
+        assert await site.submit("a1") == 503  # refused at once, while the owner waits for the disk
+        node.ledger.added = added
         await site.until(lambda: not node.owner.stuck)
         assert await site.submit("a2") == 202
         await site.until(lambda: not node.ledger.owed)
@@ -623,8 +640,8 @@
     site.run(scene)
 
 
-def broken(data):
-    raise OSError("disk on fire")
+def fail_to_write(data):
+    raise OSError("disk failed")
 
 
 def test_while_the_disk_fails_what_is_out_is_heard_and_what_is_over_ends(site):
@@ -633,10 +650,10 @@
     async def scene(site):
         node = await site.start()
         owner = node.owner
-        assert await site.submit("a1", "order") == 202  # out, and silent
-        assert await site.submit("a2", dest=8, ttl=600) == 202  # waits for an endpoint that drains
+        assert await site.submit("a1", "order") == 202  # sent, and unanswered
+        assert await site.submit("a2", dest=8, ttl=600) == 202  # waits, since its only endpoint drains
         await site.until(lambda: site.far.got)
-        whole, node.ledger.added = node.ledger.added, broken
+        added, node.ledger.added = node.ledger.added, fail_to_write
         assert await site.submit("a3") == 503
         gate.set()
         owner.cancels.clear()
@@ -645,7 +662,7 @@
         assert owner.stuck and node.counters["svc.results.order.succeeded"] == 1
         await site.until(lambda: site.platform.notices)  # past its TTL it cannot run any more
         assert [notice["message"] for notice in site.platform.notices] == ["a2"] and owner.stuck
-        node.ledger.added = whole
+        node.ledger.added = added
         await site.until(lambda: not node.ledger.pending and not node.ledger.owed)
         assert [notice["message"] for notice in site.platform.notices] == ["a2"]
 
@@ -655,8 +672,8 @@
 def test_what_ends_past_its_ttl_on_a_disk_that_fails_ends_alike_after_a_restart(site):
     async def scene(site):
         node = await site.start()
-        assert await site.submit("a1", dest=8, ttl=600) == 202  # waits for an endpoint that drains
-        node.ledger.added = broken
+        assert await site.submit("a1", dest=8, ttl=600) == 202  # waits, since its only endpoint drains
+        node.ledger.added = fail_to_write
         assert await site.submit("a2") == 503
         await site.until(lambda: site.platform.notices)
         assert node.owner.stuck
@@ -674,10 +691,12 @@
         node = await site.start()
         assert await site.submit("a1", "order") == 202
         await site.until(lambda: site.far.got)
-        heard = CLOCK.now()
-        node.ledger.owed["a1"].ttl_at = heard + SEC // 5
+        heard_at = CLOCK.now()
+        node.ledger.owed["a1"].ttl_at = heard_at + SEC // 5
         await trio.sleep(0.21)
-        await node.owner.tell(node.owner.finished, "s-1", [("a1", 0, "delivered", SEC, 0, True, None)], heard)
+        await node.owner.tell(
+            node.owner.finished, "s-1", [("a1", 0, "delivered", SEC, 0, True, None)], heard_at
+        )
         await site.until(lambda: not node.ledger.owed)
         assert not site.platform.notices and node.counters["svc.results.order.succeeded"] == 1
 
@@ -687,33 +706,36 @@
 def test_half_a_record_that_could_not_be_cut_off_is_cut_off_before_the_next(tmp_path):
     ledger = Ledger(tmp_path, 200_000)
     ledger.take("a1", "news", 7, 1 << 62, "", b"x")
-    write, truncate = ledger.files.write, ledger.files.truncate
+    write = ledger.files.write
+    truncate = ledger.files.truncate
 
-    halves = [9]
+    sizes = [9]
 
-    def half(file, data):
-        if not halves:
+    def write_part(file, data):
+        if not sizes:
             raise OSError(5, "Input/output error")
-        return write(file, bytes(data)[: halves.pop()])
+        return write(file, bytes(data)[: sizes.pop()])
 
-    def fails(file, size):
+    def fail(file, size):
         raise OSError(5, "Input/output error")
 
-    ledger.files.write, ledger.files.truncate = half, fails
+    ledger.files.write = write_part
+    ledger.files.truncate = fail
     for _ in range(2):
         with pytest.raises(OSError):
             ledger.flush()
-    ledger.files.write, ledger.files.truncate = write, truncate
+    ledger.files.write = write
+    ledger.files.truncate = truncate
     ledger.flush()
-    books = Ledger(tmp_path, 200_000)
-    assert list(books.owed) == ["a1"] and not books.skipped
+    reopened = Ledger(tmp_path, 200_000)
+    assert list(reopened.owed) == ["a1"] and not reopened.skipped
 
 
 def test_an_end_that_cannot_be_written_is_told_and_does_not_break(site):
     async def scene(site):
         node = await site.start()
         assert await site.submit("a1", dest=8) == 202
-        node.ledger.added = broken
+        node.ledger.added = fail_to_write
         node.owner.end("a1")
         assert not node.close() and any("could not be written" in text for _, text in site.lines)
 
@@ -735,7 +757,7 @@
     site.run(scene, silent)
 
 
-# ---- notices
+# ---- outcome notices
 
 
 @pytest.mark.parametrize("kill", [False, True])
@@ -757,9 +779,10 @@
 
 def test_a_silent_platform_is_tried_again_within_a_notice_s_time(site):
     async def scene(site):
-        whole, silent_until = site.platform.answer, trio.current_time() + 0.2
+        answer = site.platform.answer
+        silent_until = trio.current_time() + 0.2
         site.platform.answer = lambda *message: (
-            whole(*message) if trio.current_time() > silent_until or message[0].startswith("GET") else None
+            answer(*message) if trio.current_time() > silent_until or message[0].startswith("GET") else None
         )
         node = await site.start()
         node.owner.notices.add("a1", "given_up", 0)
@@ -771,9 +794,9 @@
 
 def test_one_unreadable_notice_does_not_hold_up_the_others(site):
     async def scene(site):
-        whole = site.platform.answer
+        answer = site.platform.answer
         site.platform.answer = (
-            lambda first, headers, body: http(400) if b"bad" in body else whole(first, headers, body)
+            lambda first, headers, body: http(400) if b"bad" in body else answer(first, headers, body)
         )
         node = await site.start()
         for number in ("bad", "a1", "a2"):
@@ -870,10 +893,10 @@
     assert entry == ("s-1", 7, 2, 50.0, 0, "draining") and address == ("h", 5)
     names = {"x0": "limit_left", "x1": "limit"}
     assert protocol.report(b"TEXT x0=0.4, x1=25, y=1, x0", names) == {"limit_left": 0.4, "limit": 25.0}
-    for odd in ("nan", "inf", "-1", "1e999", ""):
-        assert protocol.report(f"TEXT x1={odd}".encode(), names) == {}
-    odd = [member(1, ("h", 5)) | {"size": size} for size in (float("nan"), float("inf"), -1, None)]
-    assert protocol.entries(odd, ["m1"], ["a"]) == []
+    for invalid in ("nan", "inf", "-1", "1e999", ""):
+        assert protocol.report(f"TEXT x1={invalid}".encode(), names) == {}
+    invalid = [member(1, ("h", 5)) | {"size": size} for size in (float("nan"), float("inf"), -1, None)]
+    assert protocol.entries(invalid, ["m1"], ["a"]) == []
     assert [protocol.wait(value) for value in (b"1.5", b"2", b"-1", b"nan", b"x", b"1e400")] == [
         3 * SEC // 2,
         2 * SEC,
@@ -889,17 +912,17 @@
 
 
 def handed(*lines, body=b""):
-    """A request that would be taken on, with some of its lines replaced or more behind them."""
-    whole = {
+    """A submission that would be accepted, with some header lines replaced, or further ones added."""
+    headers = {
         "X-Trace-Id": "a",
         "X-Qos": "news",
         "X-Expires-In-Ms": "900",
         "X-Addressing": "dest=7",
         "Content-Length": "0",
     }
-    more = [line for line in lines if line.split(":")[0] not in whole]
-    whole |= dict(line.split(": ") for line in lines if line not in more)
-    text = ["POST /api HTTP/1.1", "Host: x", *(f"{name}: {value}" for name, value in whole.items()), *more]
+    extra = [line for line in lines if line.split(":")[0] not in headers]
+    headers |= dict(line.split(": ") for line in lines if line not in extra)
+    text = ["POST /api HTTP/1.1", "Host: x", *(f"{name}: {value}" for name, value in headers.items()), *extra]
     return "\r\n".join(text).encode("latin-1") + b"\r\n\r\n" + body
 
 
@@ -973,18 +996,19 @@
 
 
 def test_a_flood_of_half_requests_gives_way_and_delays_nobody(site):
-    site.limits = {"disk_mb": 3, "sockets": 52}  # room for eight
+    site.limits = {"disk_mb": 3, "sockets": 52}  # capacity for eight connections
 
     async def scene(site):
-        node, kept = await site.start(), await site.client()
+        node = await site.start()
+        kept = await site.client()
         flood = []
         for _ in range(40):
             sock = socket.create_connection(site.address)
-            sock.send(b"POST /api HTTP/1.1\r\nHo")  # nobody else runs between the two
+            sock.send(b"POST /api HTTP/1.1\r\nHo")  # no other task runs between the two
             flood.append(trio.SocketStream(trio.socket.from_stdlib_socket(sock)))
         with trio.fail_after(1):
             assert await site.submit("a1") == 202
-            for stream in flood[:30]:  # who was about to go on is told to come again, and nothing more
+            for stream in flood[:30]:  # unfinished requests are answered with 503, then closed
                 assert (await site.ask(b"", stream))[0] == 503 and await stream.receive_some() == b""
         assert await kept.receive_some() == b"" and node.clients.open <= 16
 
@@ -993,7 +1017,9 @@
 
 def test_who_sends_without_end_or_stays_after_its_answer_is_let_go(site):
     async def scene(site):
-        node, endless, stays = await site.start(), await site.client(), await site.client()
+        node = await site.start()
+        endless = await site.client()
+        stays = await site.client()
         with trio.fail_after(2):
             assert (await site.ask(handed("Content-Length: 60000000"), endless))[0] == 413
             assert (await site.ask(b"nonsense\r\n\r\n", stays))[0] == 400
@@ -1018,7 +1044,7 @@
 
 
 def test_clients_over_the_limit_are_told_so_and_idle_ones_make_room(site):
-    site.limits = {"disk_mb": 3, "sockets": 52}  # room for eight
+    site.limits = {"disk_mb": 3, "sockets": 52}  # capacity for eight connections
 
     async def scene(site):
         await site.start()
@@ -1043,7 +1069,8 @@
 
 def test_a_client_that_heard_yes_and_then_broke_off_is_owed(site):
     async def scene(site):
-        node, stream = await site.start(), await site.client()
+        node = await site.start()
+        stream = await site.client()
         node.clients.draining = True
         assert await site.submit("a1", dest=8, stream=stream) == 202
         stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -1071,7 +1098,8 @@
 
 def test_a_drain_serves_on_and_then_sends_clients_away(site):
     async def scene(site):
-        node, stream = await site.start(), await site.client()
+        node = await site.start()
+        stream = await site.client()
         site.nursery.start_soon(node.drain)
         await trio.sleep(0.5)
         assert await site.submit("a1", stream=stream) == 202
@@ -1084,7 +1112,7 @@
 
 
 async def program(site):
-    """The real program as a process of its own, once it is ready."""
+    """Start the program as a process of its own, and wait until it is ready."""
     site.config()
     site.address = "127.0.0.1", free(socket.SOCK_STREAM)
     environ = dict(
@@ -1116,15 +1144,16 @@
 
 def test_a_planned_restart_serves_on_keeps_once_only_pushes_back_and_loses_nothing(site):
     async def scene(site):
-        process, stream = await program(site), await site.client()
+        process = await program(site)
+        stream = await site.client()
         await site.ask(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n", stream)
         process.terminate()
         begun = trio.current_time()
         await trio.sleep(0.2)
-        assert await site.submit("a1", "order") == 202  # new connections still come
+        assert await site.submit("a1", "order") == 202  # new connections are still accepted
         await site.until(lambda: site.far.got)
         await trio.sleep_until(begun + 2.8)
-        assert await site.submit("a2", "order", stream) == 202  # on a connection that was kept
+        assert await site.submit("a2", "order", stream) == 202  # on a kept connection
         assert await site.submit("a3", "news", stream) == 202
         await site.until(lambda: len(site.far.got) == 2)
         assert await process.wait() == 0
@@ -1142,14 +1171,15 @@
     async def scene(site):
         if before == "failed":
             site.platform.answer = lambda *message: http(500)
-        node, config = await site.start(), site.folder / "config.json"
+        node = await site.start()
+        config = site.folder / "config.json"
         await site.until(lambda: site.platform.got)
         await site.until(lambda: node.owner.at.me.list_failures == (before == "failed"))
         old, site.platform = site.platform, await Platform().open(site.nursery)
         site.platform.lists = [{"revision": 1, "complete": True, "members": [member(2, site.far.address)]}]
-        whole = config.read_text()
-        for torn in ("", whole[:90], "[]", "{}", whole.replace("discovery", "directory")):
-            config.write_text(torn)
+        text = config.read_text()
+        for invalid in ("", text[:90], "[]", "{}", text.replace("discovery", "directory")):
+            config.write_text(invalid)
             node.reload(site.reread)
         assert node.config.discovery == old.address and node.counters["faults"] == 0
         site.config()
@@ -1225,9 +1255,9 @@
     async def scene(site):
         node = await site.start()
         await site.until(lambda: node.owner.ready)
-        whole, node.owner.at.notification = node.owner.at.notification, None
+        notification, node.owner.at.notification = node.owner.at.notification, None
         assert await site.submit("a1") == 503
-        node.owner.at.notification = whole
+        node.owner.at.notification = notification
         assert await site.submit("a2") == 202 and "a1" not in node.ledger.owed
 
     site.run(scene)
@@ -1261,7 +1291,8 @@
 
 def test_a_client_that_left_while_we_stood_still_is_not_taken_on(site):
     async def scene(site):
-        node, stream = await site.start(), await site.client()
+        node = await site.start()
+        stream = await site.client()
         await site.until(lambda: node.clients.waiting)
         sock = stream.socket
         text = b"POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a1\r\nX-Qos: news\r\nX-Expires-In-Ms: 500\r\n"
@@ -1278,10 +1309,10 @@
         node = await site.start()
         assert await site.submit("a1", "order", ttl=9000) == 202
         await site.until(lambda: node.counters["pushes_delivered"] and not node.ledger.owed)
-        for compacts in (False, True):
+        for is_compacted in (False, True):
             site.kill()
             node = await site.start()
-            if compacts:
+            if is_compacted:
                 node.ledger.compact()
             assert await site.submit("a1", "order", ttl=9000) == 202
         await trio.sleep(0.05)
@@ -1292,16 +1323,17 @@
 
 def test_what_was_refused_or_taken_back_is_not_remembered_as_over(tmp_path):
     ledger = Ledger(tmp_path, 100_000)
-    for number, how in enumerate("xe" * 200):
+    for number, record in enumerate("xe" * 200):
         ledger.take(f"a{number}", "news", 7, 5 * SEC, "", b"")
-        ledger.write(how, f"a{number}")
+        ledger.write(record, f"a{number}")
         ledger.flush()
     ledger.close()
-    again = Ledger(tmp_path, 100_000)
-    assert "a399" in again.over and "a398" not in again.over
-    assert 50 < len(again.over) < 200 and again.over_size <= again.most_over  # bounded: the oldest are let go
-    again.forget("a399")
-    again.close()
+    reopened = Ledger(tmp_path, 100_000)
+    assert "a399" in reopened.over and "a398" not in reopened.over
+    # The memory of what is over is bounded: the oldest are forgotten.
+    assert 50 < len(reopened.over) < 200 and reopened.over_size <= reopened.most_over
+    reopened.forget("a399")
+    reopened.close()
 
 
 def test_what_cannot_leave_in_time_does_not_and_blames_nobody(site):
@@ -1345,7 +1377,8 @@
 
     async def scene(site):
         node = await site.start()
-        node.reread_after, tries = 0.01, []
+        node.reread_after = 0.01
+        tries = []
 
         def read():
             tries.append(1)
@@ -1358,16 +1391,16 @@
         node.reload(read)
         await site.until(lambda: node.config.discovery == ("127.0.0.1", 9))
         assert len(tries) == 4
-        torn = iter(["{", "[1", "{"])
+        invalid = iter(["{", "[1", "{"])
 
-        def written():
-            if text := next(torn, ""):
+        def read_after_invalid():
+            if text := next(invalid, ""):
                 json.loads(text)
             config = site.reread()
             config.discovery = ("127.0.0.1", 10)
             return config
 
-        node.reload(written)
+        node.reload(read_after_invalid)
         assert node.config.discovery == ("127.0.0.1", 9)  # the old one stays in force
         await site.until(lambda: node.config.discovery == ("127.0.0.1", 10))
         said = [text for event, text in site.lines if event == "config" and "cannot be read" in text]
@@ -1381,7 +1414,7 @@
         node = await site.start()
         assert await site.submit("a1", dest=8, ttl=9000) == 202
         stream = await site.client()
-        node.owner.carry_out = lambda: None  # as if the round stood still
+        node.owner.carry_out = lambda: None  # as if the decision loop were suspended
         await stream.send_all(handed("X-Trace-Id: a1", "X-Addressing: dest=8", "X-Expires-In-Ms: 9000"))
         await site.until(lambda: node.owner.answers)
         stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -1397,7 +1430,7 @@
 
 
 def test_from_the_command_line_a_full_disk_refuses_and_sigterm_ends_with_a_line_and_code_1(site):
-    """Real writes that the system refuses: a bound on the size of files stands for the disk."""
+    """The system refuses real writes: a limit on the size of files stands in for a full disk."""
 
     async def scene(site):
         site.config()
