--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -1,5 +1,6 @@
-"""When a change of the list is known, whatever became of the calls before: docs/sockets.md, "When a list is
-told".  Real sockets; trio's clock and the module's are one that jumps to the next time somebody waits for."""
+"""How soon a change of discovery's list is known, after calls that failed in any way.
+
+Real sockets; trio and the decision module share a clock, which jumps to the next time awaited by a task."""
 
 import json
 from dataclasses import replace
@@ -15,14 +16,15 @@
 from juniperlanding.standins.peers import Far, http, member, read_message
 
 ABSENT = object()
-LONG = 8  # calls that fail one after another: the pause between them is as long as it gets
+MANY_FAILURES = 8  # calls in a row; the pause between them has reached its maximum by then
 
 
-class Jumping(Clock):
-    """The module's clock, by trio's; it does not tell the machine's start."""
+class TrioClock(Clock):
+    """The decision module's clock, derived from trio's; it gives no boot id."""
 
     def __init__(self):
-        self.boot_id, self.epoch = "", 1_700_000_000 * SEC
+        self.boot_id = ""
+        self.epoch = 1_700_000_000 * SEC
 
     def steady(self):
         return int(trio.current_time() * SEC)
@@ -31,24 +33,24 @@
         return self.now()
 
 
-class Held(Network):
-    """Connections to the agent hang, are refused, or come up."""
+class AgentNetwork(Network):
+    """Connections to the agent hang, are refused, or succeed, as `failure()` says."""
 
     def __init__(self):
-        self.how = lambda: ""
+        self.failure = lambda: ""
 
     async def connect(self, address):
         if address == self.agent.address:
-            how = self.how()
-            if how == "hang":
+            failure = self.failure()
+            if failure == "hang":
                 await trio.sleep_forever()
-            if how == "refuse":
+            if failure == "refuse":
                 raise ConnectionRefusedError(111, "Connection refused")
         return await super().connect(address)
 
 
 class Agent(Far):
-    """Discovery's agent.  `answer` may also give a function of the stream, which then answers."""
+    """Discovery's agent; `answer` may also return an async function, which answers on the stream."""
 
     async def attend(self, stream):
         buffer = bytearray()
@@ -79,7 +81,7 @@
 
 
 def play(site, scene):
-    """As `Site.run`, on the clock that jumps."""
+    """As `Site.run`, on a clock that jumps."""
 
     async def main():
         with trio.fail_after(600):
@@ -87,21 +89,22 @@
                 site.nursery = nursery
                 site.platform = await Agent().open(nursery)
                 site.far = await Far().open(nursery)
-                site.network = Held()
+                site.network = AgentNetwork()
                 site.network.agent = site.platform
-                site.world = replace(site.world, clock=Jumping(), network=site.network)
+                site.world = replace(site.world, clock=TrioClock(), network=site.network)
                 await scene(site)
                 nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0.002))
 
 
-async def told(node, state="draining", number="s-1"):
-    """When the module has an entry in a state."""
-    whole, news = type(node.owner.at).listed, trio.Event()
+async def wait_until_known(node, state="draining", number="s-1"):
+    """Wait until the decision module has an endpoint in a state; the time at which it has."""
+    original = type(node.owner.at).listed
+    news = trio.Event()
 
-    def listed(*news_of):
-        whole(node.owner.at, *news_of)
+    def listed(*changes):
+        original(node.owner.at, *changes)
         news.set()
 
     node.owner.at.listed = listed
@@ -111,38 +114,40 @@
     return trio.current_time()
 
 
-async def dribbles(stream):
+async def send_slowly(stream):
     await stream.send_all(b"HTTP/1.1 200 x\r\nContent-Length: 900\r\n\r\n")
     while True:
         await stream.send_all(b" ")
         await trio.sleep(0.2)
 
 
-async def endless(stream):
+async def send_without_end(stream):
     await stream.send_all(b"HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n")
     while True:
         await stream.send_all(b"10000\r\n" + b" " * 65536 + b"\r\n")
 
 
-WHOLE = http(200, listing([]))
+EMPTY_LIST = http(200, listing([]))
 TROUBLES = {
     "silent": None,
-    "half": WHOLE[:60],
+    "half": EMPTY_LIST[:60],
     "cut": http(200, listing([])[:-9]),
-    "dribbles": dribbles,
-    "endless": endless,
+    "dribbles": send_slowly,
+    "endless": send_without_end,
     "failed": http(500),
     "hang": "hang",
     "refuse": "refuse",
 }
 
 
-def troubled(site, trouble, calls):
-    """The agent, for so many calls and for all that began before `back`, which is the instant at which the
-    last of them has begun: from then on it has a change, and tells whoever asks."""
-    site.back, begun = None, []
+def set_up_failures(site, trouble, calls):
+    """Make the agent fail so many calls, and answer the later ones with a change.
+
+    `site.back` is the time at which the last failing call began; the agent has the change from then on."""
+    site.back = None
+    begun = []
 
-    def bad():
+    def fails():
         if site.back is not None:
             return False
         begun.append(trio.current_time())
@@ -151,10 +156,10 @@
         return True
 
     if trouble in ("hang", "refuse"):
-        site.network.how = lambda: trouble * bad()
-    good = http(200, listing([member(1, site.far.address, "terminating")], revision=2))
+        site.network.failure = lambda: trouble * fails()
+    change = http(200, listing([member(1, site.far.address, "terminating")], revision=2))
     site.platform.answer = lambda *message: (
-        TROUBLES[trouble] if trouble not in ("hang", "refuse") and bad() else good
+        TROUBLES[trouble] if trouble not in ("hang", "refuse") and fails() else change
     )
 
 
@@ -167,15 +172,16 @@
 )
 @pytest.mark.parametrize("mode", ["push", "ask"])
 def test_a_change_is_told_within_6_s_of_any_failed_call(site, trouble, mode, wait):
-    """The worst instant: a call has just begun that will come to nothing.  Pushed lists, which count as told
-    at once, within 2 s, the time in which a drain told meanwhile binds."""
+    """Worst case: the change comes right after the start of a call that will fail.
+
+    Pushed lists count as known at once, so they have 2 s, the time within which a reported drain binds."""
     site.wire = with_wait(mode, wait)
 
     async def scene(site):
-        troubled(site, trouble, LONG)
+        set_up_failures(site, trouble, MANY_FAILURES)
         node = await site.start()
-        at = await told(node)
-        assert at - site.back < (6 if mode == "ask" else 2)
+        known_at = await wait_until_known(node)
+        assert known_at - site.back < (6 if mode == "ask" else 2)
 
     play(site, scene)
 
@@ -186,11 +192,11 @@
     site.wire = with_wait(mode, wait)
 
     async def scene(site):
-        troubled(site, "silent", 1)
+        set_up_failures(site, "silent", 1)
         node = await site.start()
-        at = await told(node)
+        known_at = await wait_until_known(node)
         assert site.platform.got[0][1] == f"/catalog/members?index=1&wait={least * 1000}"
-        assert least < at - site.platform.got[0][0] < least + 2
+        assert least < known_at - site.platform.got[0][0] < least + 2
 
     play(site, scene)
 
@@ -214,7 +220,7 @@
         asked = [at for at, _ in site.platform.got]
         assert all(
             after - before <= max(wait, 1) + 0.2 for before, after in zip(asked, asked[1:], strict=False)
-        )  # one watch that goes on
+        )  # which is one watch to the platform
 
     play(site, scene)
 
@@ -222,38 +228,38 @@
 @pytest.mark.parametrize("mode", ["push", "ask"])
 @pytest.mark.parametrize("trouble", ["silent", "hang", "refuse", "cut", "dribbles"])
 def test_after_sighup_the_new_address_is_heard_within_4_s(site, trouble, mode):
-    """Also where the old one has failed for long, and the first call to the new one comes to nothing."""
+    """Also if the old one has failed for long, and the first call to the new one fails too."""
     site.wire = with_wait(mode, 10)
 
     async def scene(site):
-        troubled(site, trouble, 1 << 30)
+        set_up_failures(site, trouble, 1 << 30)
         node = await site.start()
-        while node.owner.at.me.list_failures < LONG:
+        while node.owner.at.me.list_failures < MANY_FAILURES:
             await trio.sleep(0.1)
         site.platform = site.network.agent = await Agent().open(site.nursery)
-        troubled(site, trouble, 1)
+        set_up_failures(site, trouble, 1)
         site.config()
         node.reload(site.reread)
         moved = trio.current_time()
-        assert await told(node) - moved < 4
+        assert await wait_until_known(node) - moved < 4
 
     play(site, scene)
 
 
 def test_sighup_while_a_connection_hangs_is_heard_at_once(site):
     async def scene(site):
-        troubled(site, "hang", 1 << 30)
+        set_up_failures(site, "hang", 1 << 30)
         node = await site.start()
         await trio.sleep(0.5)  # the connection hangs for a second
         assert not node.owner.at.me.list_failures
-        site.platform = await Agent().open(site.nursery)  # the hook holds what goes to the old one
+        site.platform = await Agent().open(site.nursery)  # the hook only affects the old address
         site.platform.answer = lambda *message: http(
             200, listing([member(1, site.far.address, "terminating")], revision=2)
         )
         site.config()
         node.reload(site.reread)
         moved = trio.current_time()
-        assert await told(node) - moved < 0.1
+        assert await wait_until_known(node) - moved < 0.1
 
     play(site, scene)
 
@@ -262,20 +268,20 @@
     async def scene(site):
         site.platform.answer = lambda *message: None
         node = await site.start()
-        whole = site.folder / "config.json"
+        path = site.folder / "config.json"
         site.platform = await Agent().open(site.nursery)
         site.platform.answer = lambda *message: http(
             200, listing([member(1, site.far.address, "terminating")], revision=2)
         )
         site.config()
-        text = whole.read_text()
-        whole.write_text(text[:90])
+        text = path.read_text()
+        path.write_text(text[:90])
         node.reload(site.reread)
         await trio.sleep(2)
         assert node.config.discovery != site.platform.address
-        whole.write_text(text)
+        path.write_text(text)
         written = trio.current_time()
-        assert await told(node) - written < 4
+        assert await wait_until_known(node) - written < 4
         assert [text for event, text in site.lines if event == "config" and "one stays" in text][1:] == []
 
     play(site, scene)
@@ -285,15 +291,15 @@
 
 
 def test_what_cannot_be_read_is_left_out_said_once_and_asked_for_again(site):
-    """The good part is in force at once; the whole list is asked for until all of it can be read."""
-    odd = {"id": "s-2", "host_port": 7, "cell": "x"}
-    drains = member(1, ("127.0.0.1", 9), "terminating")
-    lists = [listing([drains, odd], 2), *[listing([drains, odd, 7], 2, True)] * 3]
+    """The readable part applies at once; the whole list is asked for until all of it can be read."""
+    unreadable = {"id": "s-2", "host_port": 7, "cell": "x"}
+    draining = member(1, ("127.0.0.1", 9), "terminating")
+    lists = [listing([draining, unreadable], 2), *[listing([draining, unreadable, 7], 2, True)] * 3]
 
     async def scene(site):
         def answer(first, *rest):
             if "wait=" in first and len(lists) < 4:
-                return waits(first)
+                return answer_after_wait(first)
             return http(
                 200,
                 lists.pop(0)
@@ -303,21 +309,21 @@
 
         site.platform.answer = answer
         node = await site.start()
-        begun = await told(node)
-        assert begun < 0.2
-        again = await told(node, "ready", "s-2")
+        known_at = await wait_until_known(node)
+        assert known_at < 0.2
+        complete_at = await wait_until_known(node, "ready", "s-2")
         asked = [at for at, target in site.platform.got if "wait=" not in target]
-        assert asked[0] - begun < 6 and all(
+        assert asked[0] - known_at < 6 and all(
             3 < after - before < 6 for before, after in zip(asked, asked[1:], strict=False)
         )
-        assert len(asked) == 4 and again - asked[-1] < 0.1
-        said = [text for event, text in site.lines if event == "list"]
-        assert said == ["entries cannot be read entries=1", "entries cannot be read entries=2"]
+        assert len(asked) == 4 and complete_at - asked[-1] < 0.1
+        logged = [text for event, text in site.lines if event == "list"]
+        assert logged == ["entries cannot be read entries=1", "entries cannot be read entries=2"]
 
     play(site, scene)
 
 
-def waits(first):
+def answer_after_wait(first):
     async def answer(stream):
         await trio.sleep(int(first.split("wait=")[1].split()[0]) / 1000)
         await stream.send_all(http(200, listing([], revision=2)))
@@ -345,10 +351,10 @@
 
         site.platform.answer = lambda *message: answer
         node = await site.start()
-        await told(node, "ready")
+        await wait_until_known(node, "ready")
         first = node.owner.at.me.endpoints["s-1"]
         known.set()
-        await told(node, "ready", "s-2")
+        await wait_until_known(node, "ready", "s-2")
         assert first.state == state
         assert state == "gone" or node.owner.endpoints.book["s-1"] == site.far.address
 
