--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -1,5 +1,4 @@
-"""What the standing trial asks and no other test breaks; docs/standing.md, "The standing trial, sentence by
-sentence", says which test keeps which sentence."""
+"""The dispatcher in long operation: silent watches, restarts, SIGTERM, endpoints that hang, many clients."""
 
 import json
 import os
@@ -19,54 +18,61 @@
 from juniperlanding.ground.seams import Network
 from juniperlanding.standins.peers import Far, http, member
 
-ESTABLISHED = b"\x01"  # the first byte of TCP_INFO
+ESTABLISHED = b"\x01"  # the connection state, first byte of TCP_INFO
 
-HALF = b'HTTP/1.1 200 x\r\nContent-Length: 90\r\n\r\n{"revision"'
+HALF_ANSWER = b'HTTP/1.1 200 x\r\nContent-Length: 90\r\n\r\n{"revision"'
 
 
 def with_wait(seconds, mode="push"):
     return WIRE | {"registry_mode": mode, "safety": WIRE["safety"] | {"must_ask_in_ns": int(seconds * SEC)}}
 
 
-def drained(site, revision=2, indent=None):
+def list_with_drain(site, revision=2, indent=None):
     members = [member(1, site.far.address, "terminating")]
-    told = {"revision": revision, "complete": False, "members": members}
-    return http(200, json.dumps(told, indent=indent).encode())
+    listing = {"revision": revision, "complete": False, "members": members}
+    return http(200, json.dumps(listing, indent=indent).encode())
 
 
-def phase(node):
+def endpoint_state(node):
     known = node.owner.at.me.endpoints.get("s-1")
     return known and known.state
 
 
 @pytest.mark.parametrize(
-    "mode, came",
-    [("push", None), ("ask", None), ("push", HALF[:20]), ("push", HALF), ("ask", HALF), ("ask", "poll")],
+    "mode, received",
+    [
+        ("push", None),
+        ("ask", None),
+        ("push", HALF_ANSWER[:20]),
+        ("push", HALF_ANSWER),
+        ("ask", HALF_ANSWER),
+        ("ask", "poll"),
+    ],
 )
-def test_a_watch_that_falls_silent_is_begun_anew_2_s_after_its_wait(site, mode, came):
-    """Nothing came, half a head, half a body; or nothing to a poll for the whole list, which may not wait."""
+def test_a_watch_that_falls_silent_is_begun_anew_2_s_after_its_wait(site, mode, received):
+    """Nothing, half a head or half a body arrives; or nothing on a call for the whole list, without wait."""
     site.wire, asked = with_wait(0.2, mode), []
 
     def answer(first, *rest):
         asked.append(trio.current_time())
-        return (None if came == "poll" else came) if len(asked) == 1 else drained(site)
+        return (None if received == "poll" else received) if len(asked) == 1 else list_with_drain(site)
 
     async def scene(site):
         site.platform.answer = answer
-        if came == "poll":
+        if received == "poll":
             site.told["known"] = {"complete": True, "members": [member(1, site.far.address)]}
         node = await site.start()
-        await site.until(lambda: phase(node) == "draining")
-        assert trio.current_time() - asked[0] < 0.2 * (came != "poll") + 2
+        await site.until(lambda: endpoint_state(node) == "draining")
+        assert trio.current_time() - asked[0] < 0.2 * (received != "poll") + 2
 
     site.run(scene)
 
 
 def test_a_list_may_come_indented(site):
     async def scene(site):
-        site.platform.answer = lambda *message: drained(site, indent=4)
+        site.platform.answer = lambda *message: list_with_drain(site, indent=4)
         node = await site.start()
-        await site.until(lambda: phase(node) == "draining")
+        await site.until(lambda: endpoint_state(node) == "draining")
         assert not any(event == "list" for event, _ in site.lines)
 
     site.run(scene)
@@ -84,7 +90,7 @@
             "members": [member(1, site.far.address, "terminating")],
         }
         node = await site.start()
-        await trio.sleep(0.5)  # the rest after a throttling reply is 0.4 s at most
+        await trio.sleep(0.5)  # the pause after a throttling reply is 0.4 s at most
         assert list(node.ledger.owed) == ["a1"] and len(site.far.got) == 1
 
     site.run(scene, lambda *message: http(503))
@@ -92,7 +98,8 @@
 
 def test_a_watch_that_worked_again_makes_the_next_break_a_first_one(site):
     empty = http(200, json.dumps({"revision": 1, "complete": False, "members": []}).encode())
-    times, answers = [], [http(500), http(500), http(500), empty, empty, "reset"]
+    times = []
+    answers = [http(500), http(500), http(500), empty, empty, "reset"]
 
     def answer(first, *rest):
         times.append(trio.current_time())
@@ -110,16 +117,19 @@
 def test_after_discovery_was_down_for_8_s_the_list_is_asked_for_within_2_s():
     for seed in range(20):
         bed = Bed(list_mode="push", must_ask_in=10 * SEC)
-        bed.at.me.seed, back = seed, bed.at.now + 8 * SEC
-        while bed.at.now < back:
+        bed.at.me.seed = seed
+        back_at = bed.at.now + 8 * SEC
+        while bed.at.now < back_at:
             bed.at.listed("failed", [])
             bed.at.now = bed.at.me.subscribe_at
-        assert bed.at.now - back < 2 * SEC
+        assert bed.at.now - back_at < 2 * SEC
 
 
 def test_after_sigterm_each_request_on_an_open_connection_is_answered(site):
-    """Clients send without pause, on connections that stay open and on new ones, until nobody listens."""
-    answered, silent, last = [], [], []
+    """Clients send without pause, on kept and on new connections, until the process no longer listens."""
+    answered = []
+    unanswered = []
+    answered_at = []
 
     async def client(name):
         stream = None
@@ -128,25 +138,25 @@
                 stream = stream or await site.client()
             except OSError:
                 return  # the process is gone
-            with suppress(trio.BrokenResourceError), trio.move_on_after(0.001) as looked:
+            with suppress(trio.BrokenResourceError), trio.move_on_after(0.001) as probe:
                 await stream.receive_some()
-            if not looked.cancelled_caught:
-                stream = None  # it was closed before we asked
+            if not probe.cancelled_caught:
+                stream = None  # it was closed before the next request
                 continue
-            before = True
+            was_open = True
             try:
                 await stream.send_all(handed(f"X-Trace-Id: {name}{number}"))
-                # What comes after the end of its sending is read and not answered; loopback delivers at once,
-                # so who sees no end right after its own sending was there before it.
-                before = stream.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1) == ESTABLISHED
+                # A request that arrives after the process has shut down its side is read and not answered.
+                # Loopback delivers at once: if the connection is still open here, the request came before.
+                was_open = stream.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1) == ESTABLISHED
                 status, headers = await site.ask(b"", stream)
             except (trio.BrokenResourceError, TypeError) as error:
-                if before:
-                    silent.append((number, error, trio.current_time()))
+                if was_open:
+                    unanswered.append((number, error, trio.current_time()))
                 stream = None
                 continue
             answered.append(status)
-            last.append(trio.current_time())
+            answered_at.append(trio.current_time())
             stream = None if headers.get("connection") == "close" else stream
             await trio.sleep(0.01)
 
@@ -159,8 +169,8 @@
             process.send_signal(signal.SIGTERM)
             begun = trio.current_time()
         assert await process.wait() == 0
-        assert len(answered) > 200 and last[-1] - begun > 3.2 and set(answered) <= {202, 503}
-        assert not silent
+        assert len(answered) > 200 and answered_at[-1] - begun > 3.2 and set(answered) <= {202, 503}
+        assert not unanswered
 
     site.run(scene)
 
@@ -168,7 +178,7 @@
 @pytest.mark.parametrize("restart", [False, True])
 @pytest.mark.parametrize("kind", ["news", "order", "pay"])
 def test_a_destination_that_hangs_takes_no_place_from_the_others(site, kind, restart):
-    """All places held for it, before a restart too: what comes for another one is taken on and delivered."""
+    """It takes all the capacity it can get, also before a restart; others are accepted and delivered."""
 
     async def scene(site):
         site.other = await Far().open(site.nursery)
@@ -178,7 +188,7 @@
             "members": [member(1, site.far.address), member(2, site.other.address, cell=9)],
         }
         node = await site.start()
-        for number in range(60):  # of 50 places
+        for number in range(60):  # the capacity is 50
             await site.submit(f"a{number}", kind, ttl=9000)
         least = 0.8 * node.owner.at.me.settings["most_held"]
         assert len(node.owner.held) > least
@@ -186,7 +196,7 @@
             site.kill()
             node = await site.start()
             await site.until(lambda: node.owner.ready)
-            assert len(node.owner.held) > least / 2  # once-only ones that were out are given up
+            assert len(node.owner.held) > least / 2  # once-only ones that were sent are failed
         for number in range(12):
             assert await site.submit(f"b{number}", dest=9) == 202
             await site.until(lambda number=number: len(site.other.got) > number)
@@ -194,16 +204,16 @@
     site.run(scene, lambda *message: None)
 
 
-@pytest.mark.parametrize("late, ending", [(0.8, "delivered"), (1.2, "unreachable")])
-def test_a_connection_that_comes_up_late_is_waited_for(site, late, ending):
-    class Late(Network):
+@pytest.mark.parametrize("delay, ending", [(0.8, "delivered"), (1.2, "unreachable")])
+def test_a_connection_that_comes_up_late_is_waited_for(site, delay, ending):
+    class SlowNetwork(Network):
         async def connect(self, address):
             if address == site.far.address:
-                await trio.sleep(late)
+                await trio.sleep(delay)
             return await super().connect(address)
 
     async def scene(site):
-        site.world = replace(site.world, network=Late())
+        site.world = replace(site.world, network=SlowNetwork())
         node = await site.start()
         assert await site.submit("a1", "order") == 202
         await site.until(lambda: node.counters["pushes_delivered"] + node.counters["pushes_unreachable"])
@@ -213,7 +223,7 @@
 
 
 def test_many_at_once_are_each_answered_and_none_is_closed_unheard(site):
-    site.limits = {"disk_mb": 3, "sockets": 52}  # room for eight, and eight over the limit
+    site.limits = {"disk_mb": 3, "sockets": 52}  # capacity for eight connections, and eight over the limit
     answers = []
 
     async def client(number):
@@ -222,7 +232,7 @@
     async def scene(site):
         node = await site.start()
         await site.until(lambda: node.owner.ready)
-        node.owner.carry_out = lambda: None  # as if the round stood still
+        node.owner.carry_out = lambda: None  # as if the decision loop were suspended
         async with trio.open_nursery() as clients:
             for number in range(60):
                 clients.start_soon(client, number)
@@ -238,9 +248,10 @@
 
 def test_a_client_that_gives_up_before_its_answer_is_owed_nothing_at_once(site):
     async def scene(site):
-        node, stream = await site.start(), await site.client()
+        node = await site.start()
+        stream = await site.client()
         await site.until(lambda: node.owner.ready)
-        node.owner.carry_out = lambda: None  # as if the round stood still
+        node.owner.carry_out = lambda: None  # as if the decision loop were suspended
         await stream.send_all(handed("X-Addressing: dest=8"))
         await site.until(lambda: node.owner.answers)
         stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -254,7 +265,7 @@
     site.run(scene)
 
 
-NO_PROGRAMS = """
+SERVE_WITHOUT_SUBPROCESSES = """
 import sys
 
 def refuse(event, fields):
@@ -268,11 +279,11 @@
 
 
 def test_it_serves_where_no_program_may_be_started(site, monkeypatch):
-    whole = trio.lowlevel.open_process
+    open_process = trio.lowlevel.open_process
     monkeypatch.setattr(
         trio.lowlevel,
         "open_process",
-        lambda command, **more: whole([sys.executable, "-c", NO_PROGRAMS], **more),
+        lambda command, **more: open_process([sys.executable, "-c", SERVE_WITHOUT_SUBPROCESSES], **more),
     )
 
     async def scene(site):
@@ -293,9 +304,9 @@
         while True:
             os.write(log, b"x" * 4096)
     os.set_blocking(log, True)
-    whole = trio.lowlevel.open_process
+    open_process = trio.lowlevel.open_process
     monkeypatch.setattr(
-        trio.lowlevel, "open_process", lambda command, **more: whole(command, **more | {"stderr": log})
+        trio.lowlevel, "open_process", lambda command, **more: open_process(command, **more | {"stderr": log})
     )
 
     async def scene(site):
--- a/tests/test_tables_wire.py
+++ b/tests/test_tables_wire.py
@@ -1,4 +1,4 @@
-"""Plays the table of the protocol on loopback: answers to calls, requests of clients, names."""
+"""Checks the conformance table of the HTTP protocol on loopback: responses to calls, requests, names."""
 
 import pytest
 import trio
@@ -18,7 +18,8 @@
 
 @pytest.mark.parametrize("row", rows("wire", "call"))
 def test_a_call_ends_as_the_sentence_says(site, row):
-    outcomes, answers = [], [http(200)] * row.get("before", 0)
+    outcomes = []
+    answers = [http(200)] * row.get("before", 0)
 
     async def scene(site):
         calls = await endpoints(site, outcomes, row.get("sockets", 8))
@@ -29,8 +30,8 @@
             await site.until(lambda: not calls.out and outcomes)
             outcomes.clear()
         sends = [send(name, SEC // 5) for name in "ab"[: row.get("sends", 1)]]
-        for each in sends if "leave" in row else ():
-            each.leave_by += int(row["leave"] * SEC) - SEC // 5
+        for one in sends if "leave" in row else ():
+            one.leave_by += int(row["leave"] * SEC) - SEC // 5
         calls.start(site.nursery, "s-1", sends)
         event, *written = row.get("then", "none").split()
         if written:
@@ -43,10 +44,10 @@
 
     site.run(scene, lambda *message: answers.pop() if answers else answer_of(row))
     delivered = row["want"][0] == "delivered"
-    assert [told[2] for told in outcomes] == row["want"]
-    assert {told[5] for told in outcomes} == {row.get("over", delivered)}
-    assert {told[4] for told in outcomes} == {int(row.get("wait", 0) * SEC)}
-    assert {told[2] not in NEVER_RAN for told in outcomes} == {row["ran"]}
+    assert [outcome[2] for outcome in outcomes] == row["want"]
+    assert {outcome[5] for outcome in outcomes} == {row.get("over", delivered)}
+    assert {outcome[4] for outcome in outcomes} == {int(row.get("wait", 0) * SEC)}
+    assert {outcome[2] not in NEVER_RAN for outcome in outcomes} == {row["ran"]}
 
 
 def request_of(row):
@@ -82,11 +83,12 @@
 
 @pytest.mark.parametrize("row", rows("wire", "names"))
 def test_a_name_of_the_protocol_is_read_as_it_is_meant(row):
-    what, given = getattr(protocol, row["of"]), row["given"]
-    if isinstance(what, dict):
-        assert what[given] == row["want"]
+    parser = getattr(protocol, row["of"])
+    given = row["given"]
+    if isinstance(parser, dict):
+        assert parser[given] == row["want"]
     elif "error" in row:
         with pytest.raises(ValueError):
-            what(given.encode())
+            parser(given.encode())
     else:
-        assert what(given.encode()) == row["want"]
+        assert parser(given.encode()) == row["want"]
