--- a/juniperlanding/net/clients.py
+++ b/juniperlanding/net/clients.py
@@ -165,7 +165,7 @@
         return self.open - len(self.lingering) > self.max_connections
 
     def evict(self):
-        """Make one connection that waits for a request give up its place.
+        """Evict one of the connections that wait for a request.
 
         Clients that keep unused connections, or never finish a request, would otherwise use up the limit. The
         connection that has waited longest is evicted; if at least half of the waiting ones are idle, the
@@ -313,7 +313,7 @@
             if connection.waiting():
                 # The rest has arrived by now; a close without a response would look as if we had accepted it.
                 return await self.respond(connection, 503, reason="too_late")
-            # A client that sends its request in pieces would take a close without a response for a loss.
+            # After a close without a response, a client that sends in pieces would count its request as lost.
             with trio.move_on_after(protocol.PATIENCE):
                 await self.send_response(connection, 503, last=True)
             return "closed_by_us"
--- a/juniperlanding/net/discovery.py
+++ b/juniperlanding/net/discovery.py
@@ -34,7 +34,7 @@
         self.watch_ms = min(max(wait, MIN_WATCH_MS), MAX_WATCH_MS)
         self.has_failed = False  # since the last good answer
         # How many entries could not be read, and trio's time to ask for the whole list again.
-        self.unreadable, self.reread_at = 0, float("inf")
+        self.unreadable_count, self.reread_at = 0, float("inf")
         known = protocol.entries(config.known.get("members", []), self.kinds, self.zones)
         self.last_read = {entry[0]: (entry, address) for entry, address in known}  # by endpoint
         # wanted: set while the list is to be followed or fetched; whole: the next call asks for the whole
@@ -125,15 +125,13 @@
             )
             if (await connection.answer()).status_code != 200:
                 raise ValueError("discovery did not answer with status 200")
-            body = await connection.rest(self.max_list_size)  # has its own time limit, far below a watch's
+            body = await connection.rest(self.max_list_size)  # has 1 s of its own, however long the watch
         answer = json.loads(body)
         if not isinstance(answer, dict) or not isinstance(answer.get("members"), list):
             raise ValueError("discovery's answer has no list of members")
-        revision, complete, had_failed = (
-            int(answer["revision"]),
-            bool(answer.get("complete")),
-            self.has_failed,
-        )
+        revision = int(answer["revision"])
+        complete = bool(answer.get("complete"))
+        had_failed = self.has_failed
         members = self.read_members(answer["members"], complete, whole)
         self.whole = self.has_failed = False
         if members or complete or had_failed:
@@ -150,7 +148,7 @@
         return False
 
     def read_members(self, members, complete, is_whole):
-        """The entries and addresses of a list's members; for one that cannot be read, the last that could.
+        """The entries and addresses of a list's members; for an unreadable one, as it last could be read.
 
         If a member that is corrupted in transit were left out, its endpoint would count as gone, or stay in
         use although it drains."""
@@ -164,12 +162,12 @@
                     protocol.PHASE_STATES.get(str(one["phase"]), "draining") if "phase" in one else entry[-1]
                 )
                 found.append(((*entry[:-1], state), address))
-        if unreadable and len(unreadable) != self.unreadable:  # logged once while the number stays the same
+        if unreadable and len(unreadable) != self.unreadable_count:  # once for each number
             self.log("list", "entries cannot be read", entries=len(unreadable))
         if unreadable:
-            self.unreadable, self.reread_at = len(unreadable), trio.current_time() + REREAD_DELAY
+            self.unreadable_count, self.reread_at = len(unreadable), trio.current_time() + REREAD_DELAY
         elif complete or is_whole:
-            self.unreadable, self.reread_at = 0, float("inf")
+            self.unreadable_count, self.reread_at = 0, float("inf")
         last_read = ({} if complete else self.last_read) | {one[0][0]: one for one in found}
         self.last_read = {name: one for name, one in last_read.items() if one[0][-1] != "gone"}
         return found
