--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -905,7 +905,7 @@
         0,
         0,
     ]
-    assert protocol.destination(b"zone=a; dest=7") == 7
+    assert protocol.parse_destination(b"zone=a; dest=7") == 7
 
 
 # ---- clients
