--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -34,14 +34,14 @@
 
 
 class AgentNetwork(Network):
-    """Connections to the agent hang, are refused, or succeed, as `failure()` says."""
+    """Connections to the agent hang, are refused, or succeed, as `how()` says."""
 
     def __init__(self):
-        self.failure = lambda: ""
+        self.how = lambda: ""
 
     async def connect(self, address):
         if address == self.agent.address:
-            failure = self.failure()
+            failure = self.how()
             if failure == "hang":
                 await trio.sleep_forever()
             if failure == "refuse":
@@ -156,7 +156,7 @@
         return True
 
     if trouble in ("hang", "refuse"):
-        site.network.failure = lambda: trouble * fails()
+        site.network.how = lambda: trouble * fails()
     change = http(200, listing([member(1, site.far.address, "terminating")], revision=2))
     site.platform.answer = lambda *message: (
         TROUBLES[trouble] if trouble not in ("hang", "refuse") and fails() else change
