--- a/juniperlanding/choice.py
+++ b/juniperlanding/choice.py
@@ -1,8 +1,11 @@
-"""All decisions of one dispatcher.
+"""The decision module: every decision of one dispatcher, without I/O and without a clock.
 
-Build `Dispatcher(host, settings, seed, now)` with a host as in `interface.Host`, call `start()`; then, each
-moment, set `now`, hand in the events (`listed`, `notification`, `outcome`, `withdrawn`, `note`, `wake`,
-`stopping`), then `turn()`.  Settings are a plain map (README); docs/design.md has each exception."""
+Build `Dispatcher(host, settings, seed, now)` with a host as in `interface.Host` and call `start()`.  Then, in
+each iteration of the decision loop, set `now`, hand in the events (`listed`, `notification`, `outcome`,
+`withdrawn`, `note`, `wake`, `stopping`) and call `turn()`.  Settings are a plain map (README); docs/design.md
+has each exception.
+
+All times and durations are whole nanoseconds unless a name or a comment says otherwise."""
 
 from math import ceil, exp, log
 from statistics import fmean, median
@@ -10,36 +13,95 @@
 
 from juniperlanding.state import Call, Destination, Endpoint, Instance, Notification, Push, Route
 
-MS, SEC = 1_000_000, 1_000_000_000
-FACTOR, MOST_DOUBLINGS = 2, 4  # of the root of the MSE, in the time-out; of that while nothing is delivered
-START_TIMEOUT, LEAST_TIMEOUT = 45 * SEC, 1 * SEC
-SAMPLES, SPAN, SMOOTHING = 3, 10, 0.2  # deliveries until a forecast counts; what the predictors look at
-SPACING, MOST_SPACING = 100 * MS, 3 * SEC  # between pushes of one notification
-TRAVEL_SHARE = 20  # a collapsible's window is taken as shorter by this part, for travel
-OVERDUE_FACTOR, LEAST_OVERDUE, LOST = 4, 2500 * MS, 2  # once-only loses its slot at LOST times it
-TROUBLE_STEP, LOSS_STEP = 0.4, 0.03  # how far one bad outcome moves its endpoint's trouble; a push, our share
-LEAST_RUN, CHANCE_RUN = 3, 0.001  # bad outcomes in a row: at least so many, and so unlikely by chance
-ASIDE, ASIDE_RANDOM, TURN_SLICE = 1 * SEC, 500 * MS, 300 * MS
-SHORT_OUTAGE, SHUT_AFTER = 1500 * MS, 2500 * MS  # no cold return before; only throttled for so long
-DOUBT_GROWTH = 10  # for each bad outcome in a row: the pause until the next push there
-SILENCE = 500 * MS  # a push that fails later than this met silence
-USUAL_SPAN, SHARE_SPAN = 30 * SEC, 10 * SEC  # over which usual deliveries are counted; a tenant's share
-RAMP_SHARE, SOONER = 0.8, 3  # of what the rule allows; few outcomes: back for one part in so many of it
-LARGE = 8  # calls that all may make in the time of a fall; up to here chance (2 x root + 2) covers them
-STALE, REST, MOST_REST = 4, 250 * MS, 2 * SEC  # one part in so many of an idle time that broke is safe
-MOST_LIST_PAUSE, MOST_ASK_PAUSE = 500 * MS, 2 * SEC  # until a list is asked for again: pushed; else
-SLOWER, FASTER, SLOW_GAP, CALM = 0.7, 0.1, 500 * MS, 5 * SEC
-MOST_SHARES = 1.3  # even shares of a known limit that one dispatcher's pace starts at and grows to
-SPARE, NEARLY_ALL = 0.25, 0.8  # of a limit that any one may use, since it mostly stands idle; that is left
-BURST, FIRST_PACE = 0.5, 2.0  # seconds of the pace that go at once; calls a second where no limit is known
-BATCH_WEIGHT, ENOUGH = 0.15, 2  # each further one of a call, in calls; calls out to take the next in rank
-PLACES, SHED_AT = 8, 0.9  # one part in so many of the traffic is worth an idle connection; of held
-PASS, KEEP, END = "pass", "keep", "end"
-SILENT = ("timeout", "reset", "cancelled")
-NEVER_RAN = ("throttled", "unreachable", "moot")
-
-
-# ---- the forecaster: one series of delivered latencies for each destination
+MS = 1_000_000
+SEC = 1_000_000_000
+
+# Latency forecast and time-out
+FACTOR = 2  # time-out = forecast + FACTOR * root mean square error
+# The time-out doubles whenever a push times out, until one is delivered: 16 times the forecast at most.
+MAX_TIMEOUT_DOUBLINGS = 4
+INITIAL_TIMEOUT = 45 * SEC  # generous, until there are enough samples
+MIN_TIMEOUT = 1 * SEC  # floor of topic types without a latency objective
+SAMPLES = 3  # deliveries before a forecast counts
+RECENT_SAMPLES = 10  # window of the predictors that look at recent samples only
+EWMA_WEIGHT = 0.2  # weight of the newest sample in exponentially weighted means
+
+# Retries of one notification
+RETRY_SPACING = 100 * MS  # pause before the second push, doubled for each further one
+MAX_RETRY_SPACING = 3 * SEC
+TRAVEL_SHARE = 20  # a collapsible's window is taken as shorter by one part in so many, for the time of travel
+
+# Overdue and lost pushes
+OVERDUE_FACTOR = 4  # overdue after forecast + OVERDUE_FACTOR * root mean square error
+MIN_OVERDUE = 2500 * MS
+ONCE_ONLY_LOST_FACTOR = 2  # once-only calls are given so many times longer before their slot may be reclaimed
+
+# Outlier detection
+FAILURE_SCORE_STEP = 0.4  # weight of one failure in its endpoint's failure score
+OWN_LOSS_STEP = 0.03  # weight of one call in this dispatcher's own share of failures over all endpoints
+MIN_FAILURE_RUN = 3  # failures in a row before an endpoint is ejected, at least
+MAX_CHANCE_OF_RUN = 0.001  # and a run that is less likely than this by this dispatcher's own losses
+MIN_EJECTION = 1 * SEC  # until the first probe, plus a random part of EJECTION_JITTER
+EJECTION_JITTER = 500 * MS
+PROBE_SLOT = 300 * MS  # at most: probes of different dispatchers take turns in slots of this length
+MIN_OUTAGE = 1500 * MS  # an endpoint that failed for a shorter time comes back without slow start
+SHUT_AFTER = 2500 * MS  # a route that did nothing but throttle for so long counts as failing
+PAUSE_GROWTH = 10  # the pause before the next push grows by this factor with each failure in a row
+UNRESPONSIVE_AFTER = 500 * MS  # a push that fails later than this met silence, not a refusal
+
+# Delivery rates
+DELIVERY_RATE_SPAN = 30 * SEC  # time constant of the rate of deliveries to a destination
+TENANT_BURST_SPAN = 10 * SEC  # a tenant's unused allowance of so long may be used at once
+
+# Slow start of an endpoint that comes back
+SLOW_START_SHARE = 0.8  # of the rate that the rule allows; the rest is a margin
+UNSURE_WARMED_DIVISOR = 3  # after few failures, one part in so many of the outage counts as slow start done
+# Calls of all dispatchers within `fall_within`, the time of overload that brings an endpoint down.  Up to
+# here the tolerance for chance, 2 * root + 2, covers them.
+MANY_CALLS = 8
+
+# Connections that break when idle: those idle for over one part in so many of such a time are closed before a
+# call.
+STALE_DIVISOR = 4
+
+# Rest of a route after throttling
+THROTTLE_REST = 250 * MS  # doubled each time
+MAX_THROTTLE_REST = 2 * SEC
+
+# Until the endpoint list is subscribed to again after a failure
+MAX_PUSHED_LIST_PAUSE = 500 * MS  # a list that is pushed
+MAX_ASKED_LIST_PAUSE = 2 * SEC  # a list that is asked for
+
+# Rate limiting
+RATE_DECREASE = 0.7  # factor of the rate at throttling
+RATE_INCREASE = 0.1  # growth a second, in even shares of the limit
+MIN_DECREASE_GAP = 500 * MS  # throttled calls within this time decrease the rate once
+THROTTLE_MEMORY = 5 * SEC  # for so long after throttling few calls go at once
+MAX_EVEN_SHARES = 1.3  # a dispatcher's rate starts at and grows to so many even shares of a known limit
+SPARE_SHARE = 0.25  # of a limit that any one dispatcher may use, since most of it is idle most of the time
+SHUT_LIMIT_LEFT = 0.8  # an endpoint that throttles while it reports this share of its limit as left is shut
+BURST_SECONDS = 0.5  # seconds of the rate that may go at once
+INITIAL_RATE = 2.0  # calls a second where no limit is known
+
+# Calls and connections
+BATCH_WEIGHT = 0.15  # each further notification of a call, in calls
+CALLS_BEFORE_NEXT = 2  # calls in flight at an endpoint before the next in rank is taken
+# A connection is worth keeping idle for so many reuses before it closes, or for one part in so many of the
+# limit.
+IDLE_CONNECTION_WORTH = 8
+
+SHED_AT = 0.9  # share of the capacity for pending notifications from which on the least benefit is rejected
+
+# What a stage says of a push: go on, keep it waiting, or end its notification.
+PASS = "pass"
+KEEP = "keep"
+END = "end"
+
+MAY_STILL_RUN = ("timeout", "reset", "cancelled")  # outcomes after which the endpoint may go on with the push
+NEVER_RAN = ("throttled", "unreachable", "moot")  # outcomes that prove that it did not run
+
+
+# ---- the latency forecast: the predictor with the least squared error so far, for each destination
 
 PREDICTORS = (
     lambda d: d.series[-1],
@@ -51,12 +113,15 @@
 
 
 def learn(dest, latency):
+    """Add the latency of a delivery, and choose the predictor anew."""
     if dest.samples:
-        missed = [(predict(dest) - latency) ** 2 for predict in PREDICTORS]
-        dest.errors = [a + b for a, b in zip(dest.errors or [0.0] * len(missed), missed, strict=True)]
-    dest.samples, dest.series = dest.samples + 1, [*dest.series[1 - SPAN :], latency]
+        squared_errors = [(predict(dest) - latency) ** 2 for predict in PREDICTORS]
+        dest.errors = [
+            a + b for a, b in zip(dest.errors or [0.0] * len(squared_errors), squared_errors, strict=True)
+        ]
+    dest.samples, dest.series = dest.samples + 1, [*dest.series[1 - RECENT_SAMPLES :], latency]
     dest.mean += (latency - dest.mean) / dest.samples
-    dest.smooth += (latency - dest.smooth) * (SMOOTHING if dest.samples > 1 else 1)
+    dest.smooth += (latency - dest.smooth) * (EWMA_WEIGHT if dest.samples > 1 else 1)
     if dest.errors:
         best = min(range(len(PREDICTORS)), key=dest.errors.__getitem__)
         dest.forecast = int(PREDICTORS[best](dest))
@@ -72,108 +137,128 @@
 
 
 def benefit(ntf, at):
-    topic, whole = ntf.topic, ntf.topic.get("benefit", 1) * ntf.counts
-    objective, ttl = topic.get("objective", 0), topic.get("ttl", 0)
-    late, least = max(0, at - (ntf.ttl_at - ttl) - objective), topic.get("late_share", 0)
+    """The benefit of a delivery at a time: whole up to the latency objective, then fading until the TTL."""
+    topic = ntf.topic
+    whole = ntf.topic.get("benefit", 1) * ntf.counts
+    objective = topic.get("objective", 0)
+    ttl = topic.get("ttl", 0)
+    late = max(0, at - (ntf.ttl_at - ttl) - objective)
+    least = topic.get("late_share", 0)
     if topic.get("fades") == "halves":
         return whole * max(least, 0.5 ** (late / max(objective, 1)))
     return whole * max(least, 1 - (1 - least) * late / max(ttl - objective, 1))
 
 
 def repeats_until(ntf):
-    """Threat: a repeat that arrives after the destination forgot the key; so travel time is taken off."""
-    kind, window = ntf.topic.get("kind"), ntf.topic.get("window", 0)
+    """Until when the notification may be sent again, as far as a push that may have run allows.
+
+    A repeat that arrives after the destination forgot the key would run twice, so the window is taken as
+    shorter by the time that the repeat travels."""
+    kind = ntf.topic.get("kind")
+    window = ntf.topic.get("window", 0)
     if ntf.may_have_run is None or kind == "repeatable":
         return 1 << 62
     return ntf.may_have_run.sent_at + window - window // TRAVEL_SHARE if kind == "collapsible" else 0
 
 
-def harmless(ntf, now):
+def retry_is_harmless(ntf, now):
     """Whether the client may be told that trying again does no harm."""
     everywhere = ntf.topic.get("kind") != "collapsible" or ntf.topic.get("group", "all") == "all"
-    return ntf.out is None and (ntf.may_have_run is None or (everywhere and now < repeats_until(ntf)))
+    return ntf.in_flight is None and (ntf.may_have_run is None or (everywhere and now < repeats_until(ntf)))
 
 
-def usual(dest, now):
+def current_delivery_rate(dest, now):
     """Deliveries a second that this dispatcher has lately made at a destination."""
-    return dest.load * exp((dest.served_at - now) / USUAL_SPAN)
+    return dest.delivery_rate * exp((dest.delivery_rate_at - now) / DELIVERY_RATE_SPAN)
 
 
 def known(route):
-    return route.limit or route.scale  # what is reported before what is listed; 0 for neither
+    """The limit of a route in calls a second: reported before listed, 0 if neither is known."""
+    return route.reported_limit or route.listed_limit
 
 
-# ---- the stages, in the order in which a push passes them; `back` runs the other way
+# ---- the stages
 
 
 class Stage:
+    """One concern of sending.  A push passes `out` of each stage in order, its outcome `back` in reverse."""
+
     def __init__(self, dispatcher):
-        self.at, self.me = dispatcher, dispatcher.me
+        self.dispatcher = dispatcher
+        self.me = dispatcher.me
 
     def back(self, push, ending, latency, wait, report):
-        pass
+        """Take an outcome into account; `wait`: the Retry-After that came with it, 0 for none."""
 
 
 class Ttl(Stage):
-    """Ends what is too late to arrive, or may not go again."""
+    """Deadline: ends a notification that cannot arrive in time or must not be sent again."""
 
     def out(self, push):
-        ntf, dest, stop = push.ntf, push.ntf.destination, self.me.stops_at
-        # Threat: a planned restart cuts off a once-only call, which may have run and is over then.
-        lasts = max(dest.forecast + FACTOR * dest.miss, LEAST_TIMEOUT)
-        cut = stop and self.at.now + lasts > stop and ntf.topic.get("kind") == "once-only"
-        return END if self.ends(ntf) <= self.at.now else KEEP if cut else PASS
+        ntf = push.ntf
+        dest = push.ntf.destination
+        stop = self.me.stops_at
+        # A planned restart would cut off a once-only call, which may have run and cannot be repeated.
+        lasts = max(dest.forecast + FACTOR * dest.miss, MIN_TIMEOUT)
+        cut_off = stop and self.dispatcher.now + lasts > stop and ntf.topic.get("kind") == "once-only"
+        return END if self.ends(ntf) <= self.dispatcher.now else KEEP if cut_off else PASS
 
     def ends(self, ntf):
-        """From when on it cannot arrive in time, or may not go again."""
-        least, settings = 0 if ntf.unsent else forecast(ntf.destination), self.me.settings
+        """The time from which on it cannot arrive before its TTL, or must not be sent again."""
+        least = 0 if ntf.unsent else forecast(ntf.destination)
+        settings = self.me.settings
         until = min(ntf.ttl_at - max(least, 2 * settings.get("tick", 0)), repeats_until(ntf))
         return until if ntf.pushes < settings.get("most_pushes", 1 << 30) else 0
 
     def back(self, push, ending, latency, wait, report):
-        ntf, now, push.ntf.out = push.ntf, self.at.now, None
+        ntf = push.ntf
+        now = self.dispatcher.now
+        push.ntf.in_flight = None
         ntf.may_have_run = ntf.may_have_run or (None if ending in NEVER_RAN else push)
-        ntf.unsent &= ending in ("moot", "unreachable")  # nobody saw that push
-        if ntf.over or self.ends(ntf) <= now:
-            return ntf.over or self.at.give_up(ntf)
+        ntf.unsent &= ending in ("moot", "unreachable")  # no endpoint has seen that push
+        if ntf.finished or self.ends(ntf) <= now:
+            return ntf.finished or self.dispatcher.give_up(ntf)
         if ending not in ("throttled", "moot"):
-            # Threat: a down endpoint fails at once and burns every push in moments.
-            ntf.not_before = now + min(SPACING << (ntf.pushes - 1), MOST_SPACING)
-            self.at.wake_at(ntf.not_before)
+            # An endpoint that is down fails at once, which would use up all pushes within moments.
+            ntf.not_before = now + min(RETRY_SPACING << (ntf.pushes - 1), MAX_RETRY_SPACING)
+            self.dispatcher.wake_at(ntf.not_before)
         ntf.destination.waiting.append(ntf)
 
 
-class Order(Stage):
-    """One at a time, in the order taken, for topic types that ask for it."""
+class Ordering(Stage):
+    """Ordering by key, for topic types that ask for it: one at a time, in the order accepted."""
 
     def out(self, push):
-        return PASS if self.in_turn(push.ntf) else KEEP
+        return PASS if self.is_next_of_key(push.ntf) else KEEP
 
-    def in_turn(self, ntf):
+    def is_next_of_key(self, ntf):
         until, by, _ = self.me.key_rest.get(ntf.key, (0, None, None))
         free = not ntf.key or not ntf.topic.get("ordered")
-        return free or (self.me.keys[ntf.key][0] is ntf and (until <= self.at.now or by is ntf))
+        return free or (self.me.keys[ntf.key][0] is ntf and (until <= self.dispatcher.now or by is ntf))
 
     def back(self, push, ending, latency, wait, report):
-        ntf, call, rests = push.ntf, push.call, self.me.key_rest
-        if ntf.key and ntf.topic.get("ordered") and ending in SILENT:
+        ntf = push.ntf
+        call = push.call
+        rests = self.me.key_rest
+        if ntf.key and ntf.topic.get("ordered") and ending in MAY_STILL_RUN:
             rests[ntf.key] = (1 << 62, ntf, call)
-        if rests and not call.pushes:  # threat: one times out in a call of several, which runs on
-            until = self.at.now + self.me.settings.get("order_pause", 0)
+        # The pause begins with the end of the whole call: one push may time out in a call that runs on.
+        if rests and not call.pushes:
+            until = self.dispatcher.now + self.me.settings.get("order_pause", 0)
             self.me.key_rest = {
                 key: (until, by, None) if of is call else (at, by, of)
                 for key, (at, by, of) in rests.items()
-                if at > self.at.now
+                if at > self.dispatcher.now
             }
-            self.at.wake_at(until)
+            self.dispatcher.wake_at(until)
 
 
-class Slots(Stage):
-    """Never a push that comes back moot for want of a slot, nor one destination with all slots."""
+class ConcurrencyLimit(Stage):
+    """Concurrency limit: no more calls than slots, and no destination that holds all of them."""
 
     def out(self, push):
         dest, free = push.ntf.destination, self.me.settings.get("slots", 1 << 30) - self.me.slots_out
-        # Threat: silent and slow destinations hold slots for long; who holds more must leave more free.
+        # Silent and slow destinations hold slots for long: the more one holds, the more it must leave free.
         if free <= 0 or dest.calls_out > free:
             return KEEP
         held = push.ntf.topic.get("group") == "zone" and push.ntf.may_have_run
@@ -181,290 +266,391 @@
         return PASS if push.options else KEEP
 
 
-class Waits(Stage):
-    """A wait that was told, or that follows from throttling, holds the whole route."""
+class RetryAfter(Stage):
+    """Retry-After: a wait that an endpoint asked for, or a rest after throttling, holds the whole route."""
 
     def out(self, push):
-        now = self.at.now
+        now = self.dispatcher.now
         free = [e for e in push.options if e.route.wait_until <= now]
         if not free:
-            self.at.idle_until(push, min(e.route.wait_until for e in push.options))
+            self.dispatcher.hold_destination(push, min(e.route.wait_until for e in push.options))
         push.options = free
         return PASS if free else KEEP
 
     def back(self, push, ending, latency, wait, report):
-        route, now = push.endpoint.route, self.at.now
+        route = push.endpoint.route
+        now = self.dispatcher.now
         if ending == "throttled":
-            chance = self.at.chance(push.ntf.id)
-            fresh = now >= route.wait_until  # threat: a clump is turned away at once and doubles it each time
-            rest = int(min(REST << min(route.refusals, 4), MOST_REST) * (chance + 0.5)) * fresh
+            chance = self.dispatcher.pseudo_random(push.ntf.id)
+            # Calls that are throttled together count once; else a burst would double the rest with each.
+            fresh = now >= route.wait_until
+            rest = (
+                int(min(THROTTLE_REST << min(route.throttle_run, 4), MAX_THROTTLE_REST) * (chance + 0.5))
+                * fresh
+            )
             if wait:
-                # Threat: all that a shut destination told to wait are back in one moment, while it is cold.
-                rest = int(min(wait, self.at.health.full_turn(push.endpoint)) * chance)
+                # All that a shut destination asked to wait would come back in one moment, while it is cold.
+                rest = int(min(wait, self.dispatcher.health.full_cycle(push.endpoint)) * chance)
             route.wait_until = max(route.wait_until, now + wait + rest)
-            route.refusals += fresh
-            route.refused_since = route.refused_since or now
+            route.throttle_run += fresh
+            route.throttled_since = route.throttled_since or now
         elif ending == "delivered":
-            route.refusals = route.refused_since = 0
-            route.wait_until = max(route.wait_until, wait and now + wait)  # a batch may be taken and told so
+            route.throttle_run = route.throttled_since = 0
+            # The answer to a batch may bring a Retry-After beside its deliveries.
+            route.wait_until = max(route.wait_until, wait and now + wait)
 
 
-class Health(Stage):
-    """Sets endpoints aside, gives them single trials, and lets them warm up."""
+class OutlierDetection(Stage):
+    """Outlier detection with slow start: ejects failing endpoints, probes them, and warms them up."""
 
     def out(self, push):
-        now, sound, trials, later = self.at.now, [], [], []
+        now = self.dispatcher.now
+        sound = []
+        trials = []
+        later = []
         for endpoint in push.options:
             quiet = all(p.overdue for call in endpoint.calls for p in call.pushes)
             if endpoint.down:
                 trials += [endpoint] if quiet and now >= endpoint.trial_at else []
                 later.append(endpoint.trial_at)
             elif endpoint.bad_since and (not quiet or now < endpoint.trial_at):
-                later.append(endpoint.trial_at)  # single file until one is delivered, but for the overdue
-            elif endpoint.back_at and not self.warm(endpoint):
+                # After a failure one call at a time until one is delivered; overdue ones do not count.
+                later.append(endpoint.trial_at)
+            elif endpoint.back_at and not self.may_call_warming(endpoint):
                 later.append(now + 100 * MS)
             else:
                 sound.append(endpoint)
-        push.trial = bool(trials) and (not sound or push.ntf.topic.get("kind") != "once-only")
-        push.options = trials if push.trial else sound
+        push.is_probe = bool(trials) and (not sound or push.ntf.topic.get("kind") != "once-only")
+        push.options = trials if push.is_probe else sound
         if not push.options:
-            self.at.idle_until(push, min((t for t in later if t > now), default=0))
+            self.dispatcher.hold_destination(push, min((t for t in later if t > now), default=0))
         return PASS if push.options else KEEP
 
-    def budget(self, endpoint, age):
-        """This dispatcher's share of what an endpoint stands at this age of its return, in calls a second.
+    def slow_start_rate(self, endpoint, age):
+        """Calls a second that this dispatcher may make to an endpoint at this age of its return.
 
-        Threat: held work pushes a destination over as it comes back; trials and throttled calls count."""
-        get, whole = self.me.settings.get, known(endpoint.route) or FIRST_PACE
-        start, warm = get("start_capacity", 1.0), get("warm_within", 0)
+        Pending work would push a destination over as it comes back; probes and throttled calls count too."""
+        get = self.me.settings.get
+        whole = known(endpoint.route) or INITIAL_RATE
+        start = get("start_capacity", 1.0)
+        warm = get("warm_within", 0)
         level = start + (1 - start) * min(1.0, age / max(warm, 1))
         mates = sum(e.state == "ready" and e.route is endpoint.route for e in endpoint.destination.endpoints)
-        own = max(whole / self.me.dispatchers, usual(endpoint.destination, self.at.now))
-        return own / max(mates, 1) * level * get("overload_factor", 1.0) * RAMP_SHARE
+        own = max(
+            whole / self.me.dispatchers, current_delivery_rate(endpoint.destination, self.dispatcher.now)
+        )
+        return own / max(mates, 1) * level * get("overload_factor", 1.0) * SLOW_START_SHARE
 
     def pause(self, endpoint):
-        """How long an endpoint in doubt is left alone: until each of all dispatchers could have a turn.
+        """How long a failing endpoint is left alone: at most until each dispatcher could have called once.
 
-        Threat: each of many tries seldom, and all together push over what comes back."""
-        return int(min(SPACING * DOUBT_GROWTH ** min(endpoint.run, 9), self.full_turn(endpoint)))
+        If many dispatchers each tried seldom, all together would still overload an endpoint that recovers."""
+        return int(min(RETRY_SPACING * PAUSE_GROWTH ** min(endpoint.run, 9), self.full_cycle(endpoint)))
 
-    def full_turn(self, endpoint):
-        return SEC / max(self.budget(endpoint, 0), 1 / 1800)  # for all dispatchers, half an hour at most
+    def full_cycle(self, endpoint):
+        """The time for one call of every dispatcher within a cold endpoint's rate, half an hour at most."""
+        return SEC / max(self.slow_start_rate(endpoint, 0), 1 / 1800)
 
-    def few(self, endpoint):  # whether its part of a cold endpoint's budget is too small to tell an outage by
-        return LEAST_RUN * self.full_turn(endpoint) > self.me.settings.get("fall_within", 1 << 62)
+    def has_small_share(self, endpoint):
+        """Whether this dispatcher's part of a cold endpoint's rate is too small to tell an outage by."""
+        return MIN_FAILURE_RUN * self.full_cycle(endpoint) > self.me.settings.get("fall_within", 1 << 62)
 
-    def warm(self, endpoint):
-        now = self.at.now
+    def may_call_warming(self, endpoint):
+        """Refill the slow-start bucket and say if a call may go; the end of the warm-up ends slow start."""
+        now = self.dispatcher.now
         if now - endpoint.back_at >= self.me.settings.get("warm_within", 0):
-            self.at.host.log(f"endpoint {endpoint.id} warm after {(now - endpoint.back_at) // MS} ms")
+            self.dispatcher.host.log(f"endpoint {endpoint.id} warm after {(now - endpoint.back_at) // MS} ms")
             endpoint.back_at = 0
             return True
-        gained = self.budget(endpoint, now - endpoint.back_at) * (now - endpoint.filled_at) / SEC
+        gained = self.slow_start_rate(endpoint, now - endpoint.back_at) * (now - endpoint.filled_at) / SEC
         endpoint.tokens, endpoint.filled_at = min(1.0, endpoint.tokens + gained), now
         return endpoint.tokens >= 1.0
 
-    def unlikely(self, surely=False, least=LEAST_RUN):
-        """The run of bad outcomes that this instance's own share of them no longer explains.
+    def significant_run(self, surely=False, least=MIN_FAILURE_RUN):
+        """The run of failures that this dispatcher's own losses no longer explain.
 
-        Threat: a path of ours that loses calls everywhere makes sound endpoints look down or back."""
-        return max(least, ceil(log(CHANCE_RUN) / log(min(max(0.01, self.me.loss * (not surely)), 0.5))))
+        A network path of ours that loses calls everywhere would make sound endpoints look down, or back."""
+        return max(
+            least,
+            ceil(log(MAX_CHANCE_OF_RUN) / log(min(max(0.01, self.me.own_loss * (not surely)), 0.5))),
+        )
 
     def back(self, push, ending, latency, wait, report):
-        endpoint, now = push.endpoint, self.at.now
+        endpoint = push.endpoint
+        now = self.dispatcher.now
         if ending == "delivered":
-            self.me.loss *= 1 - LOSS_STEP * (not push.call.judged)  # a call is one sample
+            self.me.own_loss *= 1 - OWN_LOSS_STEP * (not push.call.sampled)  # a call is one sample
             self.good(endpoint)
-        elif push.call.judged or ending == "moot" or push.overdue:
+        elif push.call.sampled or ending == "moot" or push.overdue:
             if endpoint.down and ending != "moot":
                 self.aside(endpoint)
         elif ending == "throttled":
-            # Threat: a shut destination throttles everything and comes back cold.
-            since = endpoint.route.refused_since
+            # A destination that is shut throttles every call, and is cold when it comes back.
+            since = endpoint.route.throttled_since
             if endpoint.down or (since and now - since > SHUT_AFTER):
-                self.strike(endpoint, ending, since or now)
-        elif ending == "reset" and not endpoint.bad_since and push.call.idle > SILENCE > now - push.sent_at:
-            # Threat: what stands between drops idle connections unseen, and the next call on one breaks.
-            # The endpoint may be sound or have crashed: the next call goes over a new connection and tells.
-            endpoint.excused = push.call.idle
-        elif ending != "cancelled" or (push.cancelled and endpoint.good_at < push.sent_at):  # lost at silence
-            self.strike(endpoint, ending, push.sent_at)
-        push.call.judged = True
-
-    def good(self, endpoint, told=False):
-        now = self.at.now
-        if idle := endpoint.excused:
+                self.record_failure(endpoint, ending, since or now)
+        elif (
+            ending == "reset"
+            and not endpoint.bad_since
+            and push.call.connection_idle > UNRESPONSIVE_AFTER > now - push.sent_at
+        ):
+            # Middleboxes drop idle connections unseen, and the next call on one is reset.  The endpoint may
+            # be sound or have crashed: the next call goes over a new connection and tells.
+            endpoint.uncounted_reset_idle = push.call.connection_idle
+        elif ending != "cancelled" or (push.cancelled and endpoint.delivered_at < push.sent_at):
+            # A cancelled call counts if it was reclaimed as lost and nothing was delivered since it was sent.
+            self.record_failure(endpoint, ending, push.sent_at)
+        push.call.sampled = True
+
+    def good(self, endpoint, by_note=False):
+        """A call was delivered, or a note says so: end the failing state, with slow start after an outage."""
+        now = self.dispatcher.now
+        if idle := endpoint.uncounted_reset_idle:
             if not self.me.stale_after:
-                self.at.host.log(f"connections idle for {idle // MS} ms break: new ones from now on")
-            self.me.stale_after = max(SILENCE, min(self.me.stale_after or idle, idle) // STALE)
-            endpoint.excused, self.me.stale_seen = 0, now
-        # Threat: among many, each meets too few failures to tell an outage, and all return as one.
-        outage = endpoint.down or endpoint.run >= self.unlikely(least=1 if self.few(endpoint) else LEAST_RUN)
-        if told or outage and now - endpoint.bad_since >= SHORT_OUTAGE:
-            gone, sure = now - endpoint.bad_since, told or endpoint.down or endpoint.run >= LEAST_RUN
-            # Threat: many are refused twice in an outage, and all of them come sooner.
-            calls = self.me.dispatchers * self.me.settings.get("fall_within", 0) / self.full_turn(endpoint)
-            sure = sure or (endpoint.run > 1 and endpoint.full_at >= endpoint.bad_since and calls > LARGE)
-            endpoint.back_at = now - (not sure) * min(gone, self.me.settings.get("warm_within", 0)) // SOONER
-            endpoint.filled_at, endpoint.tokens = now, self.at.chance(endpoint.id)  # less than a call counts
-            self.at.host.log(f"endpoint {endpoint.id} back after {gone // MS} ms, warming")
-            # Threat: each of many dispatchers would find out late, at the cost of a push.  It may get lost.
-            if not told and self.me.settings.get("may_note"):
-                self.at.host.note(None, f"back {endpoint.id}".encode())
-        endpoint.down, endpoint.bad_since, endpoint.good_at, endpoint.run = False, 0, now, 0
-        endpoint.trouble *= 1 - TROUBLE_STEP
-
-    def strike(self, endpoint, why, since):
-        endpoint.trouble += (1 - endpoint.trouble) * TROUBLE_STEP
-        surely = why == "unreachable"  # no lost call: the endpoint itself is not there
-        # Threat: what took its time to fail is silent, not full, and has many waiting for it to come back.
-        full = surely and self.at.now - since < SILENCE
-        endpoint.run += (1 if full else 2 + surely) + 2 * bool(endpoint.excused)  # the break was its own
-        endpoint.excused, endpoint.bad_since = 0, endpoint.bad_since or since
+                self.dispatcher.host.log(
+                    f"connections idle for {idle // MS} ms are reset: idle ones are closed before a call"
+                )
+            self.me.stale_after = max(
+                UNRESPONSIVE_AFTER, min(self.me.stale_after or idle, idle) // STALE_DIVISOR
+            )
+            endpoint.uncounted_reset_idle, self.me.stale_seen_at = 0, now
+        # Of many dispatchers each meets too few failures to tell an outage, and all would return at once.
+        outage = endpoint.down or endpoint.run >= self.significant_run(
+            least=1 if self.has_small_share(endpoint) else MIN_FAILURE_RUN
+        )
+        if by_note or outage and now - endpoint.bad_since >= MIN_OUTAGE:
+            gone = now - endpoint.bad_since
+            sure = by_note or endpoint.down or endpoint.run >= MIN_FAILURE_RUN
+            # Where many calls fit into an overload, many dispatchers are refused twice in an outage, and
+            # would all come back sooner for it.
+            calls = self.me.dispatchers * self.me.settings.get("fall_within", 0) / self.full_cycle(endpoint)
+            sure = sure or (
+                endpoint.run > 1
+                and endpoint.connection_refused_at >= endpoint.bad_since
+                and calls > MANY_CALLS
+            )
+            endpoint.back_at = (
+                now - (not sure) * min(gone, self.me.settings.get("warm_within", 0)) // UNSURE_WARMED_DIVISOR
+            )
+            # A random part of a call, so that the first calls of all dispatchers do not coincide.
+            endpoint.filled_at, endpoint.tokens = now, self.dispatcher.pseudo_random(endpoint.id)
+            self.dispatcher.host.log(
+                f"endpoint {endpoint.id} delivers again after {gone // MS} ms, slow start begins"
+            )
+            # Each of many dispatchers would find out late, at the cost of a push.  The note may get lost.
+            if not by_note and self.me.settings.get("may_note"):
+                self.dispatcher.host.note(None, f"back {endpoint.id}".encode())
+        endpoint.down = False
+        endpoint.bad_since = 0
+        endpoint.delivered_at = now
+        endpoint.run = 0
+        endpoint.trouble *= 1 - FAILURE_SCORE_STEP
+
+    def record_failure(self, endpoint, why, since):
+        """Count a failure, pause the endpoint, and eject it after a significant run of them."""
+        endpoint.trouble += (1 - endpoint.trouble) * FAILURE_SCORE_STEP
+        surely = why == "unreachable"  # not a lost call: the endpoint itself is not there
+        # A connect that took its time to fail met silence.  One that is refused at once met a full endpoint;
+        # a silent one has many waiting for it to come back.
+        full = surely and self.dispatcher.now - since < UNRESPONSIVE_AFTER
+        # The reset that was not counted turns out to be the endpoint's own.
+        endpoint.run += (1 if full else 2 + surely) + 2 * bool(endpoint.uncounted_reset_idle)
+        endpoint.uncounted_reset_idle, endpoint.bad_since = 0, endpoint.bad_since or since
         if full:
-            self.me.scarce.add(endpoint.kind)
-            endpoint.full_at = self.at.now
+            self.me.refusing_kinds.add(endpoint.kind)
+            endpoint.connection_refused_at = self.dispatcher.now
         if endpoint.down:
             return self.aside(endpoint)
-        self.me.loss += (1 - self.me.loss) * LOSS_STEP * (not surely)
-        # Threat: many with a small part each meet an outage of seconds once and come back in it as one.
+        self.me.own_loss += (1 - self.me.own_loss) * OWN_LOSS_STEP * (not surely)
+        # Many dispatchers with a small share each meet an outage of seconds once, and would come back in it
+        # at the same time.
         pause, fall = self.pause(endpoint), self.me.settings.get("fall_within", 0)
-        if full and endpoint.run > 1 and self.few(endpoint) and self.me.dispatchers * fall / pause > LARGE:
-            pause = self.full_turn(endpoint)
-        endpoint.trial_at = self.at.now + int(pause * (0.5 + self.at.chance(endpoint.id)))
-        self.at.wake_at(endpoint.trial_at)
-        if endpoint.trouble > 1 - (1 - TROUBLE_STEP) ** (self.unlikely(surely) - 0.5):
-            endpoint.down, endpoint.back_at = True, 0
+        if (
+            full
+            and endpoint.run > 1
+            and self.has_small_share(endpoint)
+            and self.me.dispatchers * fall / pause > MANY_CALLS
+        ):
+            pause = self.full_cycle(endpoint)
+        endpoint.trial_at = self.dispatcher.now + int(
+            pause * (0.5 + self.dispatcher.pseudo_random(endpoint.id))
+        )
+        self.dispatcher.wake_at(endpoint.trial_at)
+        if endpoint.trouble > 1 - (1 - FAILURE_SCORE_STEP) ** (self.significant_run(surely) - 0.5):
+            endpoint.down = True
+            endpoint.back_at = 0
             self.aside(endpoint)
-            self.at.host.log(f"endpoint {endpoint.id} set aside: {why}, trouble {endpoint.trouble:.2f}")
+            self.dispatcher.host.log(
+                f"endpoint {endpoint.id} ejected: {why}, failure score {endpoint.trouble:.2f}"
+            )
 
     def aside(self, endpoint):
-        """A fixed time with a random part, then this dispatcher's own turn."""
+        """Schedule the next probe: after a fixed time and a random part, in this dispatcher's own turn."""
         pause = self.pause(endpoint)
-        at = self.at.now + max(ASIDE + int(ASIDE_RANDOM * self.at.chance(endpoint.id)), pause // 2)
-        turn = min(TURN_SLICE, max(ASIDE, pause) // self.me.dispatchers)
-        # Turns lie apart only by a time that all dispatchers share; ours goes on over steps of the clock.
-        turns_gone = (at + self.at.wall_clock_ahead) // turn
+        at = self.dispatcher.now + max(
+            MIN_EJECTION + int(EJECTION_JITTER * self.dispatcher.pseudo_random(endpoint.id)), pause // 2
+        )
+        turn = min(PROBE_SLOT, max(MIN_EJECTION, pause) // self.me.dispatchers)
+        # Turns are apart only by a time that all dispatchers share; ours stays over steps of the clock.
+        turns_gone = (at + self.dispatcher.wall_clock_ahead) // turn
         own_turn = turns_gone + (self.me.rank - turns_gone) % self.me.dispatchers
-        endpoint.trial_at = max(at, own_turn * turn - self.at.wall_clock_ahead)
-        self.at.wake_at(endpoint.trial_at)
+        endpoint.trial_at = max(at, own_turn * turn - self.dispatcher.wall_clock_ahead)
+        self.dispatcher.wake_at(endpoint.trial_at)
 
-    def overdue(self, push):
+    def mark_overdue(self, push):
+        """Count a push that is in flight for too long as a failure, unless a later one was delivered."""
         push.overdue = True
-        if not push.call.judged and push.endpoint.good_at < push.sent_at:
-            push.call.judged = True
-            self.strike(push.endpoint, "overdue", push.sent_at)
+        if not push.call.sampled and push.endpoint.delivered_at < push.sent_at:
+            push.call.sampled = True
+            self.record_failure(push.endpoint, "overdue", push.sent_at)
 
 
 class Rate(Stage):
-    """What this dispatcher may offer a route, paced evenly."""
+    """Rate limiting: a token bucket for each route, its rate adapted by additive increase at calm times and
+    multiplicative decrease at throttling."""
 
     def out(self, push):
-        free = [e for e in push.options if self.filled(e.route) >= 1.0 and self.room(e)]
+        free = [e for e in push.options if self.refilled(e.route) >= 1.0 and self.has_room(e)]
         if not free:
             soonest = min((1 - e.route.tokens) / e.route.pace for e in push.options)
-            self.at.idle_until(push, self.at.now + int(soonest * SEC) + 1)
+            self.dispatcher.hold_destination(push, self.dispatcher.now + int(soonest * SEC) + 1)
         push.options = free
         return PASS if free else KEEP
 
-    def room(self, endpoint):
-        """Threat: an endpoint takes few connections, and what waited for it is turned away as one clump."""
-        dest, now = endpoint.destination, self.at.now
-        enough = ENOUGH + usual(dest, now) * forecast(dest) / SEC / len(dest.endpoints)
-        few = sum(not call.pushes[0].overdue for call in endpoint.calls) < enough  # silent calls fill no room
-        return few or now - max(endpoint.route.slowed_at, endpoint.full_at) > CALM
+    def has_room(self, endpoint):
+        """Whether a further call may be in flight there.
+
+        An endpoint that takes few connections would refuse what waited for it as one burst."""
+        dest = endpoint.destination
+        now = self.dispatcher.now
+        enough = CALLS_BEFORE_NEXT + current_delivery_rate(dest, now) * forecast(dest) / SEC / len(
+            dest.endpoints
+        )
+        few = (
+            sum(not call.pushes[0].overdue for call in endpoint.calls) < enough
+        )  # overdue calls take no room
+        return few or now - max(endpoint.route.slowed_at, endpoint.connection_refused_at) > THROTTLE_MEMORY
 
     def most(self, route):
-        """Of a known limit: somewhat over an even share, or what mostly stands idle.  Threats: paces that all
-        grow to the whole overrun it together; among many, an even share starves who carries much."""
-        return known(route) * min(1, MOST_SHARES * max(1 / self.me.dispatchers, SPARE))
+        """The highest rate at a known limit: somewhat over an even share, or the share that is mostly idle.
 
-    def filled(self, route):
-        now, share, most = self.at.now, known(route) / self.me.dispatchers, self.most(route)
+        Rates that all grow to the whole limit overrun it together; among many dispatchers, an even share
+        starves the one that has much to send."""
+        return known(route) * min(1, MAX_EVEN_SHARES * max(1 / self.me.dispatchers, SPARE_SHARE))
+
+    def refilled(self, route):
+        """The tokens of a route's bucket, now."""
+        now = self.dispatcher.now
+        share = known(route) / self.me.dispatchers
+        most = self.most(route)
         if not route.pace:
-            route.pace, route.filled_at = most or FIRST_PACE, now
-        gone = max(0, now - max(route.filled_at, route.wait_until)) / SEC  # nothing gathers while it rests
-        route.pace = min(most or float("inf"), route.pace + gone * FASTER * (share or route.pace))
-        route.tokens = min(max(1.0, BURST * route.pace), route.tokens + gone * route.pace)
+            route.pace, route.filled_at = most or INITIAL_RATE, now
+        # The bucket does not fill while the route rests.
+        gone = max(0, now - max(route.filled_at, route.wait_until)) / SEC
+        route.pace = min(most or float("inf"), route.pace + gone * RATE_INCREASE * (share or route.pace))
+        route.tokens = min(max(1.0, BURST_SECONDS * route.pace), route.tokens + gone * route.pace)
         route.filled_at = now
         return route.tokens
 
     def back(self, push, ending, latency, wait, report):
-        route, dest, now = push.endpoint.route, push.ntf.destination, self.at.now
+        route = push.endpoint.route
+        dest = push.ntf.destination
+        now = self.dispatcher.now
         if report.get("limit"):
-            first, route.limit = not route.limit, report["limit"]
-            route.left += (report.get("limit_left", 0) - route.left) * (1 if first else SMOOTHING)
+            first, route.reported_limit = not route.reported_limit, report["limit"]
+            route.mean_limit_left += (report.get("limit_left", 0) - route.mean_limit_left) * (
+                1 if first else EWMA_WEIGHT
+            )
             route.pace = self.most(route) if first else route.pace
         if ending == "throttled":
-            self.filled(route)
-            if now - route.slowed_at > SLOW_GAP:
-                # Threat: a quarter of the limit at each of many; back to what this one has really used.
+            self.refilled(route)
+            if now - route.slowed_at > MIN_DECREASE_GAP:
+                # Each of many dispatchers may use a quarter of the limit: decrease from what this one really
+                # used, not from its rate.
                 even = known(route) / self.me.dispatchers
-                used = usual(dest, now) + even if even else route.pace
-                # Threat: among many, half an even share holds the next one past its objective, and a limit
-                # that the reports show idle is not used.  A call that carries several gains by its wait;
-                # who refuses with all but the whole limit left is shut.
-                spare = min(SPARE * route.limit * route.left, SEC / MOST_REST) / (1 + route.refusals)
-                shut = report.get("limit_left", 0) >= NEARLY_ALL
-                least = max(even / 2, (not shut) * spare / self.at.most_in_call(push.endpoint))
-                route.pace = max(min(route.pace, used) * SLOWER, least or FIRST_PACE / 10)
-                if not route.slowed_at or now - route.slowed_at > CALM:
-                    self.at.host.log(f"destination {dest.id} throttles: pace {route.pace:.2f}")
+                used = current_delivery_rate(dest, now) + even if even else route.pace
+                # Among many dispatchers, half an even share would hold the next call past its objective
+                # while the reports show the limit idle.  A call that carries several gains by its wait.  An
+                # endpoint that throttles with nearly all of its limit left is shut.
+                spare = min(
+                    SPARE_SHARE * route.reported_limit * route.mean_limit_left, SEC / MAX_THROTTLE_REST
+                ) / (1 + route.throttle_run)
+                shut = report.get("limit_left", 0) >= SHUT_LIMIT_LEFT
+                least = max(even / 2, (not shut) * spare / self.dispatcher.max_batch(push.endpoint))
+                route.pace = max(min(route.pace, used) * RATE_DECREASE, least or INITIAL_RATE / 10)
+                if not route.slowed_at or now - route.slowed_at > THROTTLE_MEMORY:
+                    self.dispatcher.host.log(
+                        f"destination {dest.id} throttles: rate {route.pace:.2f} calls a second"
+                    )
                 route.slowed_at = now
             route.tokens = min(route.tokens, 0.0)
 
 
 class Pick(Stage):
-    """First in rank, of the own zone where crossing has a price; the next when that has enough."""
+    """Endpoint selection: the first in rank with few calls, in the own zone first if crossing has a price."""
 
     def out(self, push):
         near = self.me.settings.get("zone") if self.me.settings.get("crossing_price") else None
         push.endpoint = min(
             push.options,
-            key=lambda e: (max(len(e.calls) + 1 - ENOUGH, 0), near is not None and e.zone != near, e.rank),
+            key=lambda e: (
+                max(len(e.calls) + 1 - CALLS_BEFORE_NEXT, 0),
+                near is not None and e.zone != near,
+                e.rank,
+            ),
         )
         return PASS
 
     def back(self, push, ending, latency, wait, report):
-        endpoint, call = push.endpoint, push.call
+        endpoint = push.endpoint
+        call = push.call
         call.pushes.remove(push)
         if not call.pushes:
             endpoint.calls.remove(call)
             endpoint.destination.calls_out -= 1
             self.me.slots_out -= 1
-            endpoint.quiet_since = self.at.now
-            self.at.quiet.append(endpoint)
-
-    def close(self, endpoint):
-        """Threat: many dispatchers that seldom call fill an endpoint's few connections with idle ones.
-        What waits for its pace or its turn does not need one meanwhile; what may go has gone by now."""
-        if not endpoint.calls and self.seldom(endpoint):
-            self.at.host.close_idle(endpoint.id)
-            endpoint.quiet_since = 0
-
-    def seldom(self, endpoint):
-        whole, get = known(endpoint.route), self.me.settings.get
-        part = max(whole / self.me.dispatchers, usual(endpoint.destination, self.at.now))
-        carried = get("calls_a_connection", 1)  # at once; only where it is one do idle ones pile up
+            endpoint.idle_since = self.dispatcher.now
+            self.dispatcher.endpoints_to_check.append(endpoint)
+
+    def close_if_rarely_used(self, endpoint):
+        """Close the idle connections to an endpoint that this dispatcher rarely calls.
+
+        Many dispatchers that seldom call would fill an endpoint's few connections with idle ones.  What still
+        waits for its rate or its turn needs none meanwhile; what may go has gone by now."""
+        if not endpoint.calls and self.is_rarely_used(endpoint):
+            self.dispatcher.host.close_idle(endpoint.id)
+            endpoint.idle_since = 0
+
+    def is_rarely_used(self, endpoint):
+        whole = known(endpoint.route)
+        get = self.me.settings.get
+        part = max(
+            whole / self.me.dispatchers, current_delivery_rate(endpoint.destination, self.dispatcher.now)
+        )
+        # Calls that a connection carries at once; idle ones only pile up where it is one.
+        carried = get("calls_a_connection", 1)
         reuses = carried * part * get("idle_closes", 0) / SEC  # until the connection closes by itself
-        scarce = endpoint.kind in self.me.scarce or (carried == 1 and get("scale_kind") == "rough")
-        return part * PLACES < whole and (scarce or reuses < PLACES)
+        scarce = endpoint.kind in self.me.refusing_kinds or (carried == 1 and get("scale_kind") == "rough")
+        return part * IDLE_CONNECTION_WORTH < whole and (scarce or reuses < IDLE_CONNECTION_WORTH)
 
 
-class Timeout(Stage):
-    """Forecast + FACTOR x root of MSE, for what may go again; all its time left for the rest."""
+class AdaptiveTimeout(Stage):
+    """Adaptive time-out: forecast + FACTOR * root mean square error for what may be sent again, else none."""
 
     def out(self, push):
-        ntf, dest, now = push.ntf, push.ntf.destination, self.at.now
+        ntf = push.ntf
+        dest = push.ntf.destination
+        now = self.dispatcher.now
         again = ntf.topic.get("kind") in ("repeatable", "collapsible")
-        limit, late = START_TIMEOUT, LEAST_OVERDUE
+        limit = INITIAL_TIMEOUT
+        late = MIN_OVERDUE
         if dest.samples >= SAMPLES:
-            # The floor: cutting before the objective gains nothing and repeats work that was nearly done.
-            limit = max(dest.forecast + FACTOR * dest.miss, ntf.topic.get("objective", LEAST_TIMEOUT))
-            limit <<= max(dest.back_off, ntf.cut)
+            # The objective is the floor: a cut before it gains nothing and repeats work that was nearly done.
+            limit = max(dest.forecast + FACTOR * dest.miss, ntf.topic.get("objective", MIN_TIMEOUT))
+            limit <<= max(dest.timeout_doublings, ntf.timeout_doublings)
             late = dest.forecast + OVERDUE_FACTOR * dest.miss
-        push.overdue_at = now + max(late, LEAST_OVERDUE)
-        push.patience = max(late, SILENCE) * (1 if again else LOST)
+        push.overdue_at = now + max(late, MIN_OVERDUE)
+        push.lost_after = max(late, UNRESPONSIVE_AFTER) * (1 if again else ONCE_ONLY_LOST_FACTOR)
         push.timeout = min(limit, ntf.ttl_at - now) if again else 0
         return PASS
 
@@ -472,75 +658,98 @@
         dest = push.ntf.destination
         if ending == "delivered":
             learn(dest, latency)
-            dest.load, dest.served_at = usual(dest, self.at.now) + SEC / USUAL_SPAN, self.at.now
-            dest.back_off = 0
+            dest.delivery_rate, dest.delivery_rate_at = (
+                current_delivery_rate(dest, self.dispatcher.now) + SEC / DELIVERY_RATE_SPAN,
+                self.dispatcher.now,
+            )
+            dest.timeout_doublings = 0
         elif ending == "timeout" and 0 < push.timeout < push.ntf.ttl_at - push.sent_at:
-            # Threats: answers jump past the time-out for good and leave no sample; a notification is heavy.
-            dest.back_off = min(dest.back_off + 1, MOST_DOUBLINGS)
-            push.ntf.cut = min(push.ntf.cut + 1, MOST_DOUBLINGS)
+            # Answers that jump past the time-out for good leave no sample, so the forecast would never
+            # follow; and a single notification may take long wherever it is sent.
+            dest.timeout_doublings = min(dest.timeout_doublings + 1, MAX_TIMEOUT_DOUBLINGS)
+            push.ntf.timeout_doublings = min(push.ntf.timeout_doublings + 1, MAX_TIMEOUT_DOUBLINGS)
 
 
 class Dispatcher:
-    """One instance: the door, where ids become objects, and the turn of decisions."""
+    """One dispatcher's decisions: takes events, keeps the records, and decides in `turn` what to do."""
 
     def __init__(self, host, settings, seed, now):
-        self.host, self.now = host, now
-        self.wall_clock_ahead = 0  # of `now`: what all machines' clocks agree on is the sum of both
+        self.host = host
+        self.now = now
+        self.wall_clock_ahead = 0  # of `now`; the sum of both is the time that all machines' clocks agree on
         self.me = Instance(settings, seed, settings.get("rank", 0), max(1, settings.get("dispatchers", 1)))
-        self.stages = [stage(self) for stage in (Ttl, Order, Slots, Waits, Health, Rate, Pick, Timeout)]
+        self.stages = [
+            stage(self)
+            for stage in (
+                Ttl,
+                Ordering,
+                ConcurrencyLimit,
+                RetryAfter,
+                OutlierDetection,
+                Rate,
+                Pick,
+                AdaptiveTimeout,
+            )
+        ]
         self.ttl, self.order, _, _, self.health, _, self.pick, self.timeout = self.stages
-        self.quiet = []  # endpoints at which a call ended since the last turn
+        self.endpoints_to_check = []  # those at which a call ended since the last iteration
 
-    def chance(self, number):
+    def pseudo_random(self, number):
         """A number from 0 up to 1, the same for equal events."""
-        self.me.counter += 1
-        return crc32(f"{self.me.seed}/{self.me.rank}/{number}/{self.me.counter}".encode()) / 2**32
+        self.me.draw_count += 1
+        return crc32(f"{self.me.seed}/{self.me.rank}/{number}/{self.me.draw_count}".encode()) / 2**32
 
     def wake_at(self, at):
+        """Set a timer, unless one is set for that time."""
         if at > self.now and at not in self.me.wakes:
             self.me.wakes.add(at)
             self.host.timer(at - self.now, at)
 
-    def idle_until(self, push, at):
-        """Nothing goes to this destination before then, unless news of it comes first."""
-        if at > self.now:
-            push.ntf.destination.idle_until = at
-            self.wake_at(at)
+    def hold_destination(self, push, until):
+        """Send nothing to the push's destination before a time, unless news of it comes first."""
+        if until > self.now:
+            push.ntf.destination.idle_until = until
+            self.wake_at(until)
+
+    # ---- events
 
     def start(self):
         if self.me.settings.get("list_mode") == "ask":
             self.host.subscribe(True)
 
     def wake(self, tok):
+        """A timer has run off."""
         self.me.wakes.discard(tok)
         if tok == self.me.subscribe_at:
             self.host.subscribe(True)
 
     def avoids(self, endpoint):
-        """Whether an endpoint is set aside: it gets single trials at most."""
+        """Whether an endpoint is ejected: it gets single probes at most."""
         return endpoint.down
 
     def stopping(self, at):
+        """The process will stop at a time."""
         self.me.stops_at = at
 
     def settled(self, settings):
-        """Other settings are in force; what was taken on keeps the topic type that it was taken on with."""
+        """Other settings are in force; pending notifications keep the topic type they were accepted with."""
         self.me.settings = settings
         for dest in self.me.destinations.values():
-            dest.idle_until = dest.look_at = 0
+            dest.idle_until = dest.expiry_check_at = 0
 
     def listed(self, news, entries):
-        """List news: (endpoint, destination, kind, scale, zone, state) for each entry."""
+        """News of the endpoint list: (endpoint, destination, kind, scale, zone, state) for each entry."""
         me = self.me
         me.list_failures = me.list_failures + 1 if news == "failed" else 0
         if me.list_failures:
-            # Threats: discovery in trouble, so a growing pause; drains told meanwhile, so a short one first.
-            # What is pushed counts as told unasked, the rest 6 s after it was there, by any settings.
-            most = MOST_ASK_PAUSE if me.settings.get("list_mode") == "ask" else MOST_LIST_PAUSE
+            # The pause grows, since discovery may be in trouble, but starts short, since drains may be
+            # reported meanwhile.  Whatever the settings, a change counts as known at once where the list is
+            # pushed, and 6 s after it was there where the list is asked for.
+            most = MAX_ASKED_LIST_PAUSE if me.settings.get("list_mode") == "ask" else MAX_PUSHED_LIST_PAUSE
             pause = min(SEC // 8 << min(me.list_failures, 7), most)
-            me.subscribe_at = self.now + pause // 2 + int(pause / 2 * self.chance(me.rank))
+            me.subscribe_at = self.now + pause // 2 + int(pause / 2 * self.pseudo_random(me.rank))
             self.wake_at(me.subscribe_at)
-            return self.host.log(f"list news failed {me.list_failures} times, asking again")
+            return self.host.log(f"endpoint list failed {me.list_failures} times in a row, subscribing again")
         named = {entry[0] for entry in entries}
         for endpoint in list(me.endpoints.values()):
             if news != "changes" and endpoint.id not in named:
@@ -554,14 +763,16 @@
                 apart = me.settings.get("routes_apart", [])
                 route = Route() if kind < len(apart) and apart[kind] else dest.route
                 endpoint = me.endpoints[number] = Endpoint(number, dest, route, kind, zone, 0)
+                # Rendezvous hashing, with an order of its own for each dispatcher.
                 endpoint.rank = crc32(f"{me.rank}/{destination}/{number}".encode())
                 dest.endpoints.append(endpoint)
             endpoint.state = state
             if me.settings.get("scale_kind") in ("nominal", "rough"):
-                endpoint.route.scale = scale
+                endpoint.route.listed_limit = scale
             dest.idle_until = 0
 
     def destination(self, number):
+        """The record of a destination, made when it is first named."""
         return self.me.destinations.setdefault(number, Destination(number))
 
     def notification(
@@ -577,127 +788,155 @@
         unsent=False,
         tenant="",
     ):
+        """A notification was accepted, or restored after a restart with what its pushes may have done.
+
+        pushes: sent so far; ran_zone, ran_at: where and when one left that may have run, 0 for none."""
         topic = (self.me.settings.get("topic_types", [])[topic:] or [{}])[0]
         dest = self.destination(destination)
         ntf = Notification(ntf_id, topic, dest, ttl_at or self.now + topic.get("ttl", 0), key, pushes, unsent)
-        # Threats: a push from before a restart has run, or may yet, and nobody will tell; a clock set back.
+        # A push from before a restart has run, or may yet, and no outcome will come.  A time ahead of now
+        # comes from a clock that was set back.
         since = ran_at if ran_at <= self.now else 0
         ntf.may_have_run = Push(ntf, 0, sent_at=since, zone=ran_zone) if ran_at else None
-        if share := self.me.settings.get("tenants", {}).get(tenant):  # threat: a rush displaces the others
-            due = max(self.me.tenants.get(tenant, 0), self.now - SHARE_SPAN)  # our even part, in bursts
+        # A tenant over its allowance would displace the others: what it hands in beyond counts for less.
+        if share := self.me.settings.get("tenants", {}).get(tenant):
+            # Up to when this dispatcher's even part of the allowance is used up; unused time makes a burst.
+            due = max(self.me.tenants.get(tenant, 0), self.now - TENANT_BURST_SPAN)
             ntf.counts = self.me.settings.get("over_share", 1.0) if due > self.now else 1.0
             self.me.tenants[tenant] = due + (due <= self.now) * int(SEC * self.me.dispatchers / share)
         self.me.notifications[ntf_id] = ntf
-        failed = pushes > bool(ran_at) or 0 < ran_at < self.now - LEAST_OVERDUE  # else a restart forgets it
-        for endpoint in filter(self.health.few, dest.endpoints if failed else ()):
-            endpoint.back_at, endpoint.filled_at, endpoint.tokens = self.now, self.now, 1.0
+        # A push that failed before the restart: the failing state of its endpoints would be forgotten.
+        failed = pushes > bool(ran_at) or 0 < ran_at < self.now - MIN_OVERDUE
+        for endpoint in filter(self.health.has_small_share, dest.endpoints if failed else ()):
+            endpoint.back_at = self.now
+            endpoint.filled_at = self.now
+            endpoint.tokens = 1.0
         if key and topic.get("ordered"):
             self.me.keys.setdefault(key, []).append(ntf)
         dest.waiting.append(ntf)
-        dest.idle_until, dest.look_at = 0, min(dest.look_at, self.ttl.ends(ntf))
+        dest.idle_until, dest.expiry_check_at = 0, min(dest.expiry_check_at, self.ttl.ends(ntf))
         self.wake_at(ntf.ttl_at - 2 * self.me.settings.get("tick", 0))
 
     def outcome(self, ntf_id, number, ending, latency=0, wait=0, over=False, report=None):
+        """A push ended.  over: the notification ended with it; report: what the endpoint said of its load."""
         push = self.me.pushes.pop((ntf_id, number), None)
         if push is None:
             return
         ntf = push.ntf
         if over or ending == "delivered":
-            self.close(ntf)
+            self.finish(ntf)
         for stage in reversed(self.stages):
             stage.back(push, ending, latency, wait, report or {})
-        ntf.destination.idle_until = ntf.destination.look_at = 0
-        if ntf.over:
-            self.release(ntf)
+        ntf.destination.idle_until = ntf.destination.expiry_check_at = 0
+        if ntf.finished:
+            self.release_key(ntf)
 
     def withdrawn(self, ntf_id):
+        """A notification needs no delivery any more."""
         if ntf_id in self.me.notifications:
-            self.close(self.me.notifications[ntf_id])
+            self.finish(self.me.notifications[ntf_id])
 
     def note(self, rank, body):
-        """A note from another dispatcher: an endpoint that we hold in doubt delivers again."""
+        """A note from another dispatcher: an endpoint that we hold for failing delivers again."""
         word, _, number = body.partition(b" ")
         endpoint = self.me.endpoints.get(int(number)) if word == b"back" and number.isdigit() else None
         if endpoint and endpoint.bad_since and rank != self.me.rank:
-            self.health.good(endpoint, told=True)
+            self.health.good(endpoint, by_note=True)
             endpoint.destination.idle_until = 0
 
-    def close(self, ntf):
-        if not ntf.over:
-            ntf.over = True
+    # ---- the end of notifications
+
+    def finish(self, ntf):
+        """Take a notification out of the records; a push of it that is in flight still gets its outcome."""
+        if not ntf.finished:
+            ntf.finished = True
             del self.me.notifications[ntf.id]
             if ntf in ntf.destination.waiting:
                 ntf.destination.waiting.remove(ntf)
-            self.release(ntf)
+            self.release_key(ntf)
 
-    def release(self, ntf):
+    def release_key(self, ntf):
+        """Let the next notification of an ordered key go, unless a push of this one is in flight."""
         queue = self.me.keys.get(ntf.key)
-        if queue and ntf.out is None and ntf in queue:
+        if queue and ntf.in_flight is None and ntf in queue:
             queue.remove(ntf)
             if not queue:
                 del self.me.keys[ntf.key]
 
     def give_up(self, ntf):
-        """The final answer, at once: throttled where trying again is harmless, else expired."""
-        if harmless(ntf, self.now):
+        """Give the final answer at once: throttled where trying again is harmless, else expired."""
+        if retry_is_harmless(ntf, self.now):
             again = min(ntf.destination.route.wait_until - self.now, self.me.settings.get("most_again_in", 0))
             self.host.throttled(ntf.id, max(again, 0) if self.me.settings.get("advises_again") else 0)
         else:
             self.host.expired(ntf.id)
-        self.close(ntf)
+        self.finish(ntf)
+
+    # ---- decisions
 
     def turn(self, may_send=True):
+        """Decide after the events of one iteration: what ends, what is cancelled, and what is sent."""
         for push in [p for p in self.me.pushes.values() if not p.overdue and self.now >= p.overdue_at]:
-            self.health.overdue(push)
+            self.health.mark_overdue(push)
         waiting = [d for d in self.me.destinations.values() if d.waiting]
-        for dest in [d for d in waiting if d.look_at <= self.now]:
-            dest.look_at = min(map(self.ttl.ends, dest.waiting), default=0)
-            for ntf in [n for n in dest.waiting if dest.look_at <= self.now >= self.ttl.ends(n)]:
+        for dest in [d for d in waiting if d.expiry_check_at <= self.now]:
+            dest.expiry_check_at = min(map(self.ttl.ends, dest.waiting), default=0)
+            for ntf in [n for n in dest.waiting if dest.expiry_check_at <= self.now >= self.ttl.ends(n)]:
                 self.give_up(ntf)
         self.shed(waiting)
-        self.reclaim(waiting)
+        self.reclaim_slots(waiting)
         ready = [d for d in waiting if may_send and d.waiting and d.idle_until <= self.now]
+        # Destinations take turns: fewest calls in flight first, then the one served longest ago.
         while ready:
-            dest = min(ready, key=lambda d: (d.calls_out, d.turn))
-            if not self.serve(dest) or not dest.waiting:
+            dest = min(ready, key=lambda d: (d.calls_out, d.last_served))
+            if not self.send_next(dest) or not dest.waiting:
                 ready.remove(dest)
-        for endpoint in self.quiet:
-            self.pick.close(endpoint)
-        self.quiet.clear()
+        for endpoint in self.endpoints_to_check:
+            self.pick.close_if_rarely_used(endpoint)
+        self.endpoints_to_check.clear()
 
     def shed(self, waiting):
-        """Threat: held places run out, and what comes next is turned away whatever it is worth."""
-        held, most = len(self.me.notifications), self.me.settings.get("most_held", 1 << 30) * SHED_AT
+        """Reject what is worth least before the capacity for pending notifications is used up.
+
+        Else whatever comes next would be turned away, whatever it is worth."""
+        held = len(self.me.notifications)
+        most = self.me.settings.get("most_held", 1 << 30) * SHED_AT
         if held > most and not self.me.shedding:
-            self.host.log(f"places run out: {held} held, throttling what is worth least")
+            self.host.log(f"capacity nearly used: {held} notifications pending, throttling the least benefit")
         self.me.shedding = held > most or (self.me.shedding and held > most / 2)
         while len(self.me.notifications) > most and (
-            least := [n for d in waiting for n in d.waiting if harmless(n, self.now) and not n.unsent]
+            least := [
+                n for d in waiting for n in d.waiting if retry_is_harmless(n, self.now) and not n.unsent
+            ]
         ):
             self.give_up(min(least, key=lambda n: benefit(n, self.now) / (1 + len(n.destination.waiting))))
 
-    def reclaim(self, waiting):
-        """Threat: calls never answered hold the slots until their TTL; who is lost longest gives its up."""
+    def reclaim_slots(self, waiting):
+        """Cancel the call that was presumed lost first, where a destination waits for a slot.
+
+        Calls that are never answered would else hold their slots until their TTL."""
         free = self.me.settings.get("slots", 1 << 30) - self.me.slots_out
         short = any(d.waiting and (d.calls_out > free or not free) for d in waiting)
         if out := [p.call for p in self.me.pushes.values() if short and not p.cancelled]:
-            first = min(out, key=lambda call: call.lost_at)
-            self.wake_at(first.lost_at)
-            gone = first.lost_at <= self.now and self.me.settings.get("may_cancel")
+            first = min(out, key=lambda call: call.presumed_lost_at)
+            self.wake_at(first.presumed_lost_at)
+            gone = first.presumed_lost_at <= self.now and self.me.settings.get("may_cancel")
             for mate in first.pushes if gone else ():
                 mate.cancelled = True
                 self.host.cancel(mate.ntf.id, mate.number)
 
-    def serve(self, dest):
-        """Send the best of what waits for one destination, if anything may go now."""
+    def send_next(self, dest):
+        """Send the best of what waits for one destination, if anything may go now; whether one was sent."""
         now = self.now
-        # Threat: those behind others of their key are looked at first, and hide all that may go.
-        ready = [n for n in dest.waiting if n.not_before <= now and self.order.in_turn(n)]
-        # Threat: hundreds wait, and are ranked anew at every event though none may go: the core is used up.
+        # What waits behind others of its key is left out first, or it would hide all that may go.
+        ready = [n for n in dest.waiting if n.not_before <= now and self.order.is_next_of_key(n)]
+        # Whether anything may go is asked before the ranking: ranking hundreds at every event though none may
+        # go would use up the processor core.
         first = Push(min(ready, key=lambda n: n.pushes), 0) if ready else None
         if not ready or any(stage.out(first) != PASS for stage in self.stages[2:6]):
             return False
-        trial = all(e.down for e in dest.endpoints)  # takes what affords the loss, fewest pushes first
+        # A probe takes what can best afford the loss, fewest pushes first.
+        trial = all(e.down for e in dest.endpoints)
         ready.sort(
             key=lambda n: (n.topic.get("kind") == "once-only", n.pushes, benefit(n, now))
             if trial
@@ -708,44 +947,55 @@
             self.send(push, ready)
         return push is not None
 
-    def most_in_call(self, endpoint):
+    def max_batch(self, endpoint):
+        """How many notifications a call to the endpoint's kind may carry."""
         sizes = self.me.settings.get("batch_by_kind", [])
         return sizes[endpoint.kind] if endpoint.kind < len(sizes) else 1
 
     def send(self, push, ready):
-        endpoint, dest, call = push.endpoint, push.ntf.destination, Call()
-        # Threats: a batch shares one fate; one that an endpoint cannot digest fails its mates each time.
-        single = push.trial or endpoint.bad_since or push.ntf.may_have_run
-        most = 1 if single else self.most_in_call(endpoint)
-        if not endpoint.calls and endpoint.quiet_since:
-            call.idle = self.now - endpoint.quiet_since
-            if self.me.stale_after and self.now - self.me.stale_seen > USUAL_SPAN:
+        """Start a call with the push, and with others that are ready as far as the call takes several."""
+        endpoint = push.endpoint
+        dest = push.ntf.destination
+        call = Call()
+        # All notifications of a batch share its fate, and one that an endpoint cannot digest would fail the
+        # others each time.
+        single = push.is_probe or endpoint.bad_since or push.ntf.may_have_run
+        most = 1 if single else self.max_batch(endpoint)
+        if not endpoint.calls and endpoint.idle_since:
+            call.connection_idle = self.now - endpoint.idle_since
+            if self.me.stale_after and self.now - self.me.stale_seen_at > DELIVERY_RATE_SPAN:
                 self.me.stale_after = 0
-            if endpoint.excused or 0 < self.me.stale_after < call.idle:
+            if endpoint.uncounted_reset_idle or 0 < self.me.stale_after < call.connection_idle:
                 self.host.close_idle(endpoint.id)
-                call.idle = 0
-        self.launch(push, endpoint, call)
-        free = (Push(n, n.pushes) for n in ready if not (n.out or n.over or n.may_have_run))
-        mates = (mate for mate in free if self.order.in_turn(mate.ntf))
+                call.connection_idle = 0
+        self.start_push(push, endpoint, call)
+        free = (Push(n, n.pushes) for n in ready if not (n.in_flight or n.finished or n.may_have_run))
+        mates = (mate for mate in free if self.order.is_next_of_key(mate.ntf))
         for _, mate in zip(range(most - 1), mates, strict=False):
             self.timeout.out(mate)
-            self.launch(mate, endpoint, call)
+            self.start_push(mate, endpoint, call)
         endpoint.calls.append(call)
-        dest.turn = self.me.turns = self.me.turns + 1
+        dest.last_served = self.me.served = self.me.served + 1
         dest.calls_out += 1
         self.me.slots_out += 1
         weight = 1 + BATCH_WEIGHT * (len(call.pushes) - 1)
-        call.lost_at = self.now + int(weight * max(p.patience for p in call.pushes))
+        call.presumed_lost_at = self.now + int(weight * max(p.lost_after for p in call.pushes))
         endpoint.route.tokens -= weight
-        endpoint.tokens -= weight  # counts while it warms
+        endpoint.tokens -= weight  # of its slow start; refilled from there while it warms up
 
-    def launch(self, push, endpoint, call):
-        ntf, ends = push.ntf, self.ttl.ends(push.ntf)
-        push.endpoint, push.zone, push.call, push.sent_at = endpoint, endpoint.zone, call, self.now
-        ntf.out, ntf.pushes = push, ntf.pushes + 1
+    def start_push(self, push, endpoint, call):
+        """Record a push as in flight and ask the host to send it."""
+        ntf = push.ntf
+        ends = self.ttl.ends(push.ntf)
+        push.endpoint = endpoint
+        push.zone = endpoint.zone
+        push.call = call
+        push.sent_at = self.now
+        ntf.in_flight, ntf.pushes = push, ntf.pushes + 1
         ntf.destination.waiting.remove(ntf)
         call.pushes.append(push)
         self.me.pushes[ntf.id, push.number] = push
-        # Threat: a connection that is slow to come up, and it arrives past its window, or after its end.
+        # The host is told until when the bytes may leave: on a connection that is slow to come up, they would
+        # arrive past the repeat window or the TTL.
         self.host.push(ntf.id, endpoint.id, push.timeout, ends - self.now)
         self.wake_at(push.overdue_at)
--- a/juniperlanding/emulator/mutants.py
+++ b/juniperlanding/emulator/mutants.py
@@ -53,10 +53,10 @@
     return 1 << 62
 
 
-@mutant(choice.Waits, "back")
+@mutant(choice.RetryAfter, "back")
 def told_wait_ignored(self, push, ending, latency, wait, report):
     """An endpoint says when to come again, and nobody listens."""
-    return choice.Waits.__mro__[1].back(self, push, ending, latency, 0, report)
+    return choice.RetryAfter.__mro__[1].back(self, push, ending, latency, 0, report)
 
 
 @mutant(endpoints.Endpoints, "recall")
@@ -145,7 +145,7 @@
 PICK_BACK = choice.Pick.back
 
 
-@mutant(choice.Slots, "out")
+@mutant(choice.ConcurrencyLimit, "out")
 def slots_not_counted(self, push):
     """More calls go out than there are slots."""
     push.options = [e for e in push.ntf.destination.endpoints if e.state == "ready"]
--- a/juniperlanding/series.py
+++ b/juniperlanding/series.py
@@ -1,12 +1,13 @@
-"""A series of its own with the forecaster's fields: what `choice.learn` and `choice.forecast` read and
-write, for parts that forecast something else than a destination's latencies.  No I/O, clock or trio."""
+"""A series for the forecaster, for parts that forecast something else than a destination's latencies.
+
+It has the fields that `choice.learn` and `choice.forecast` read and write.  No I/O, clock or trio."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(slots=True, eq=False)
 class Series:
-    """Fields as `state.Destination` has them; last_at: when the last sample came, for who needs it."""
+    """Fields as in `state.Destination`; last_at: when the last sample came, for users that need it."""
 
     samples: int = 0
     series: list = field(default_factory=list)
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -6,7 +6,7 @@
 from conftest import COLLAPSIBLE, ONCE_ONLY, ORDERED, REPEATABLE, TOPICS, Bed
 
 from juniperlanding import carry, choice
-from juniperlanding.choice import MS, SEC, benefit, harmless, learn
+from juniperlanding.choice import MS, SEC, benefit, learn, retry_is_harmless
 from juniperlanding.state import Destination, Instance
 
 
@@ -51,7 +51,7 @@
     bed.turn(1)
     assert bed.pushed[-1][2] == 4 * SEC
     bed.end(ntf, "delivered", number=1)
-    assert bed.at.destination(1).back_off == 0
+    assert bed.at.destination(1).timeout_doublings == 0
 
 
 # ---- TTL and endings
@@ -113,9 +113,9 @@
     bed.turn(1)
     bed.end(ntf, "error", after=5, number=1)
     held = bed.at.me.notifications[ntf]
-    assert harmless(held, bed.at.now)
+    assert retry_is_harmless(held, bed.at.now)
     bed.at.now += 800 * MS  # 5.8 s of the 6: travel might take it past the window
-    assert not harmless(held, bed.at.now)
+    assert not retry_is_harmless(held, bed.at.now)
     bed.turn()
     assert bed.host.all("expired") == [[ntf]] and len(bed.pushed) == 2
 
@@ -188,7 +188,7 @@
     bed.turn()
     pace = bed.endpoint().route.pace
     bed.end(ntf, "throttled", after=0, report={"limit": 4.0})
-    assert bed.endpoint().route.pace < pace and bed.endpoint().route.limit == 4.0
+    assert bed.endpoint().route.pace < pace and bed.endpoint().route.reported_limit == 4.0
 
 
 def test_pace_grows_to_its_share_of_a_known_limit():
@@ -536,7 +536,7 @@
     for n in list(bed.at.me.pushes):
         bed.end(n[0], "throttled", after=0.001)
     route = bed.endpoint().route
-    assert route.refusals == 1 and route.wait_until < bed.at.now + SEC // 2
+    assert route.throttle_run == 1 and route.wait_until < bed.at.now + SEC // 2
     most, gone = 0, 0
     for _ in range(100):
         for n, number in list(bed.at.me.pushes):
@@ -550,7 +550,7 @@
 def test_after_a_refused_connection_few_calls_go_and_silent_ones_fill_no_room():
     bed = Bed(scale=400.0, slots=90)
     bed.deliver()
-    bed.endpoint().full_at = bed.at.now
+    bed.endpoint().connection_refused_at = bed.at.now
     for _ in range(20):
         bed.take(ONCE_ONLY)
     sent = bed.turn(1)
@@ -562,21 +562,21 @@
 
 @pytest.mark.parametrize("loss, warms", [(0.0, True), (0.3, False)])
 def test_a_short_run_that_own_losses_explain_is_no_outage(bed, loss, warms):
-    endpoint, bed.at.me.loss = bed.endpoint(), loss
+    endpoint, bed.at.me.own_loss = bed.endpoint(), loss
     endpoint.run, endpoint.bad_since = 4, bed.at.now - 2 * SEC  # two resets
     bed.at.health.good(endpoint)
     assert bool(endpoint.back_at) == warms and not endpoint.bad_since
 
 
-@pytest.mark.parametrize("judged, share", [(False, 0.97), (True, 1.0)])
-def test_a_call_of_several_is_one_sample_of_our_own_losses(judged, share):
+@pytest.mark.parametrize("sampled, share", [(False, 0.97), (True, 1.0)])
+def test_a_call_of_several_is_one_sample_of_our_own_losses(sampled, share):
     bed = Bed(batch_by_kind=[4])
     bed.take()
     bed.turn()
-    bed.at.me.loss = 0.2
-    bed.at.me.pushes[1, 0].call.judged = judged
+    bed.at.me.own_loss = 0.2
+    bed.at.me.pushes[1, 0].call.sampled = sampled
     bed.end(1, "delivered")
-    assert bed.at.me.loss == pytest.approx(0.2 * share)
+    assert bed.at.me.own_loss == pytest.approx(0.2 * share)
 
 
 def test_a_turn_with_nothing_due_ranks_nothing(bed, monkeypatch):
--- a/tests/test_tables_choice.py
+++ b/tests/test_tables_choice.py
@@ -10,7 +10,7 @@
 from conftest import TOPICS, Bed
 from tables import fills, meets, rows
 
-from juniperlanding.choice import MS, SEC, benefit, known, usual
+from juniperlanding.choice import MS, SEC, benefit, current_delivery_rate, known
 
 TIMES = {
     "objective",
@@ -161,19 +161,19 @@
             "samples": lambda: dest.samples,
             "pace": lambda: route.pace,
             "limit": lambda: known(route),
-            "left": lambda: route.left,
+            "left": lambda: route.mean_limit_left,
             "wait": lambda: (route.wait_until - now) / SEC,
             "tokens": lambda: route.tokens,
             "down": lambda: ep.down,
             "run": lambda: ep.run,
             "warming": lambda: bool(ep.back_at),
             "trial": lambda: (ep.trial_at - now) / SEC,
-            "loss": lambda: self.me.loss,
+            "loss": lambda: self.me.own_loss,
             "slice": lambda: ep.trial_at // (300 * MS) % self.me.dispatchers,
-            "share": lambda: self.at.health.budget(ep, 0),
+            "share": lambda: self.at.health.slow_start_rate(ep, 0),
             "first_part": lambda: ep.tokens,
-            "half_warm": lambda: self.at.health.budget(ep, 5 * SEC),
-            "usual": lambda: usual(dest, now),
+            "half_warm": lambda: self.at.health.slow_start_rate(ep, 5 * SEC),
+            "usual": lambda: current_delivery_rate(dest, now),
             "slots": lambda: self.me.slots_out,
             "held": lambda: len(self.me.notifications),
             "endpoints": lambda: sorted(self.me.endpoints),
