--- a/juniperlanding/choice.py
+++ b/juniperlanding/choice.py
@@ -197,17 +197,21 @@
     def out(self, push):
         ntf = push.ntf
         dest = push.ntf.destination
-        stop = self.me.stops_at
+        stops_at = self.me.stops_at
         # A planned restart would cut off a once-only call, which may have run and cannot be repeated.
-        lasts = max(dest.forecast + FACTOR * dest.miss, MIN_TIMEOUT)
-        cut_off = stop and self.dispatcher.now + lasts > stop and ntf.topic.get("kind") == "once-only"
+        expected_duration = max(dest.forecast + FACTOR * dest.miss, MIN_TIMEOUT)
+        cut_off = (
+            stops_at
+            and self.dispatcher.now + expected_duration > stops_at
+            and ntf.topic.get("kind") == "once-only"
+        )
         return END if self.ends(ntf) <= self.dispatcher.now else KEEP if cut_off else PASS
 
     def ends(self, ntf):
         """The time from which on it cannot arrive before its TTL, or must not be sent again."""
-        least = 0 if ntf.unsent else forecast(ntf.destination)
+        expected_latency = 0 if ntf.unsent else forecast(ntf.destination)
         settings = self.me.settings
-        until = min(ntf.ttl_at - max(least, 2 * settings.get("tick", 0)), repeats_until(ntf))
+        until = min(ntf.ttl_at - max(expected_latency, 2 * settings.get("tick", 0)), repeats_until(ntf))
         return until if ntf.pushes < settings.get("most_pushes", 1 << 30) else 0
 
     def back(self, push, ending, latency, wait, report):
@@ -232,29 +236,32 @@
         return PASS if self.is_next_of_key(push.ntf) else KEEP
 
     def is_next_of_key(self, ntf):
-        until, by, _ = self.me.key_rest.get(ntf.key, (0, None, None))
+        """Whether no other notification of its key comes before it, or holds the key."""
+        until, holder, _ = self.me.key_rest.get(ntf.key, (0, None, None))
         free = not ntf.key or not ntf.topic.get("ordered")
-        return free or (self.me.keys[ntf.key][0] is ntf and (until <= self.dispatcher.now or by is ntf))
+        return free or (self.me.keys[ntf.key][0] is ntf and (until <= self.dispatcher.now or holder is ntf))
 
     def back(self, push, ending, latency, wait, report):
         ntf = push.ntf
         call = push.call
-        rests = self.me.key_rest
+        holds = self.me.key_rest
         if ntf.key and ntf.topic.get("ordered") and ending in MAY_STILL_RUN:
-            rests[ntf.key] = (1 << 62, ntf, call)
+            holds[ntf.key] = (1 << 62, ntf, call)
         # The pause begins with the end of the whole call: one push may time out in a call that runs on.
-        if rests and not call.pushes:
+        if holds and not call.pushes:
             until = self.dispatcher.now + self.me.settings.get("order_pause", 0)
             self.me.key_rest = {
-                key: (until, by, None) if of is call else (at, by, of)
-                for key, (at, by, of) in rests.items()
-                if at > self.dispatcher.now
+                key: (until, holder, None) if held_by_call is call else (held_until, holder, held_by_call)
+                for key, (held_until, holder, held_by_call) in holds.items()
+                if held_until > self.dispatcher.now
             }
             self.dispatcher.wake_at(until)
 
 
 class ConcurrencyLimit(Stage):
-    """Concurrency limit: no more calls than slots, and no destination that holds all of them."""
+    """Concurrency limit: no more calls than slots, and no destination that holds all of them.
+
+    A push past the limit would only come back as moot."""
 
     def out(self, push):
         dest, free = push.ntf.destination, self.me.settings.get("slots", 1 << 30) - self.me.slots_out
@@ -306,24 +313,24 @@
     def out(self, push):
         now = self.dispatcher.now
         sound = []
-        trials = []
-        later = []
+        probes = []
+        next_times = []
         for endpoint in push.options:
-            quiet = all(p.overdue for call in endpoint.calls for p in call.pushes)
+            is_free = all(p.overdue for call in endpoint.calls for p in call.pushes)
             if endpoint.down:
-                trials += [endpoint] if quiet and now >= endpoint.trial_at else []
-                later.append(endpoint.trial_at)
-            elif endpoint.bad_since and (not quiet or now < endpoint.trial_at):
+                probes += [endpoint] if is_free and now >= endpoint.trial_at else []
+                next_times.append(endpoint.trial_at)
+            elif endpoint.bad_since and (not is_free or now < endpoint.trial_at):
                 # After a failure one call at a time until one is delivered; overdue ones do not count.
-                later.append(endpoint.trial_at)
+                next_times.append(endpoint.trial_at)
             elif endpoint.back_at and not self.may_call_warming(endpoint):
-                later.append(now + 100 * MS)
+                next_times.append(now + 100 * MS)
             else:
                 sound.append(endpoint)
-        push.is_probe = bool(trials) and (not sound or push.ntf.topic.get("kind") != "once-only")
-        push.options = trials if push.is_probe else sound
+        push.is_probe = bool(probes) and (not sound or push.ntf.topic.get("kind") != "once-only")
+        push.options = probes if push.is_probe else sound
         if not push.options:
-            self.dispatcher.hold_destination(push, min((t for t in later if t > now), default=0))
+            self.dispatcher.hold_destination(push, min((t for t in next_times if t > now), default=0))
         return PASS if push.options else KEEP
 
     def slow_start_rate(self, endpoint, age):
@@ -331,15 +338,17 @@
 
         Pending work would push a destination over as it comes back; probes and throttled calls count too."""
         get = self.me.settings.get
-        whole = known(endpoint.route) or INITIAL_RATE
+        limit = known(endpoint.route) or INITIAL_RATE
         start = get("start_capacity", 1.0)
-        warm = get("warm_within", 0)
-        level = start + (1 - start) * min(1.0, age / max(warm, 1))
-        mates = sum(e.state == "ready" and e.route is endpoint.route for e in endpoint.destination.endpoints)
-        own = max(
-            whole / self.me.dispatchers, current_delivery_rate(endpoint.destination, self.dispatcher.now)
+        warm_up = get("warm_within", 0)
+        level = start + (1 - start) * min(1.0, age / max(warm_up, 1))
+        sharing = sum(
+            e.state == "ready" and e.route is endpoint.route for e in endpoint.destination.endpoints
         )
-        return own / max(mates, 1) * level * get("overload_factor", 1.0) * SLOW_START_SHARE
+        own_part = max(
+            limit / self.me.dispatchers, current_delivery_rate(endpoint.destination, self.dispatcher.now)
+        )
+        return own_part / max(sharing, 1) * level * get("overload_factor", 1.0) * SLOW_START_SHARE
 
     def pause(self, endpoint):
         """How long a failing endpoint is left alone: at most until each dispatcher could have called once.
@@ -369,7 +378,8 @@
     def significant_run(self, surely=False, least=MIN_FAILURE_RUN):
         """The run of failures that this dispatcher's own losses no longer explain.
 
-        A network path of ours that loses calls everywhere would make sound endpoints look down, or back."""
+        A network path of ours that loses calls everywhere would make sound endpoints look down, or back.
+        surely: these failures are not lost calls, so own losses explain none of them."""
         return max(
             least,
             ceil(log(MAX_CHANCE_OF_RUN) / log(min(max(0.01, self.me.own_loss * (not surely)), 0.5))),
@@ -415,27 +425,30 @@
             )
             endpoint.uncounted_reset_idle, self.me.stale_seen_at = 0, now
         # Of many dispatchers each meets too few failures to tell an outage, and all would return at once.
-        outage = endpoint.down or endpoint.run >= self.significant_run(
+        was_outage = endpoint.down or endpoint.run >= self.significant_run(
             least=1 if self.has_small_share(endpoint) else MIN_FAILURE_RUN
         )
-        if by_note or outage and now - endpoint.bad_since >= MIN_OUTAGE:
-            gone = now - endpoint.bad_since
-            sure = by_note or endpoint.down or endpoint.run >= MIN_FAILURE_RUN
+        if by_note or was_outage and now - endpoint.bad_since >= MIN_OUTAGE:
+            failed_for = now - endpoint.bad_since
+            is_sure = by_note or endpoint.down or endpoint.run >= MIN_FAILURE_RUN
             # Where many calls fit into an overload, many dispatchers are refused twice in an outage, and
             # would all come back sooner for it.
             calls = self.me.dispatchers * self.me.settings.get("fall_within", 0) / self.full_cycle(endpoint)
-            sure = sure or (
+            is_sure = is_sure or (
                 endpoint.run > 1
                 and endpoint.connection_refused_at >= endpoint.bad_since
                 and calls > MANY_CALLS
             )
             endpoint.back_at = (
-                now - (not sure) * min(gone, self.me.settings.get("warm_within", 0)) // UNSURE_WARMED_DIVISOR
+                now
+                - (not is_sure)
+                * min(failed_for, self.me.settings.get("warm_within", 0))
+                // UNSURE_WARMED_DIVISOR
             )
-            # A random part of a call, so that the first calls of all dispatchers do not coincide.
+            # The bucket begins with a random part of a call.
             endpoint.filled_at, endpoint.tokens = now, self.dispatcher.pseudo_random(endpoint.id)
             self.dispatcher.host.log(
-                f"endpoint {endpoint.id} delivers again after {gone // MS} ms, slow start begins"
+                f"endpoint {endpoint.id} delivers again after {failed_for // MS} ms, slow start begins"
             )
             # Each of many dispatchers would find out late, at the cost of a push.  The note may get lost.
             if not by_note and self.me.settings.get("may_note"):
@@ -485,16 +498,16 @@
             )
 
     def aside(self, endpoint):
-        """Schedule the next probe: after a fixed time and a random part, in this dispatcher's own turn."""
+        """Schedule the next probe: after a fixed time and a random part, in this dispatcher's own slot."""
         pause = self.pause(endpoint)
-        at = self.dispatcher.now + max(
+        earliest = self.dispatcher.now + max(
             MIN_EJECTION + int(EJECTION_JITTER * self.dispatcher.pseudo_random(endpoint.id)), pause // 2
         )
-        turn = min(PROBE_SLOT, max(MIN_EJECTION, pause) // self.me.dispatchers)
+        slot = min(PROBE_SLOT, max(MIN_EJECTION, pause) // self.me.dispatchers)
         # Turns are apart only by a time that all dispatchers share; ours stays over steps of the clock.
-        turns_gone = (at + self.dispatcher.wall_clock_ahead) // turn
-        own_turn = turns_gone + (self.me.rank - turns_gone) % self.me.dispatchers
-        endpoint.trial_at = max(at, own_turn * turn - self.dispatcher.wall_clock_ahead)
+        slots_gone = (earliest + self.dispatcher.wall_clock_ahead) // slot
+        own_slot = slots_gone + (self.me.rank - slots_gone) % self.me.dispatchers
+        endpoint.trial_at = max(earliest, own_slot * slot - self.dispatcher.wall_clock_ahead)
         self.dispatcher.wake_at(endpoint.trial_at)
 
     def mark_overdue(self, push):
@@ -526,10 +539,11 @@
         enough = CALLS_BEFORE_NEXT + current_delivery_rate(dest, now) * forecast(dest) / SEC / len(
             dest.endpoints
         )
-        few = (
-            sum(not call.pushes[0].overdue for call in endpoint.calls) < enough
-        )  # overdue calls take no room
-        return few or now - max(endpoint.route.slowed_at, endpoint.connection_refused_at) > THROTTLE_MEMORY
+        # Overdue calls take no room.
+        has_few = sum(not call.pushes[0].overdue for call in endpoint.calls) < enough
+        return (
+            has_few or now - max(endpoint.route.slowed_at, endpoint.connection_refused_at) > THROTTLE_MEMORY
+        )
 
     def most(self, route):
         """The highest rate at a known limit: somewhat over an even share, or the share that is mostly idle.
@@ -541,14 +555,16 @@
     def refilled(self, route):
         """The tokens of a route's bucket, now."""
         now = self.dispatcher.now
-        share = known(route) / self.me.dispatchers
+        even_share = known(route) / self.me.dispatchers
         most = self.most(route)
         if not route.pace:
             route.pace, route.filled_at = most or INITIAL_RATE, now
         # The bucket does not fill while the route rests.
-        gone = max(0, now - max(route.filled_at, route.wait_until)) / SEC
-        route.pace = min(most or float("inf"), route.pace + gone * RATE_INCREASE * (share or route.pace))
-        route.tokens = min(max(1.0, BURST_SECONDS * route.pace), route.tokens + gone * route.pace)
+        elapsed_s = max(0, now - max(route.filled_at, route.wait_until)) / SEC
+        route.pace = min(
+            most or float("inf"), route.pace + elapsed_s * RATE_INCREASE * (even_share or route.pace)
+        )
+        route.tokens = min(max(1.0, BURST_SECONDS * route.pace), route.tokens + elapsed_s * route.pace)
         route.filled_at = now
         return route.tokens
 
@@ -557,27 +573,29 @@
         dest = push.ntf.destination
         now = self.dispatcher.now
         if report.get("limit"):
-            first, route.reported_limit = not route.reported_limit, report["limit"]
+            is_first, route.reported_limit = not route.reported_limit, report["limit"]
             route.mean_limit_left += (report.get("limit_left", 0) - route.mean_limit_left) * (
-                1 if first else EWMA_WEIGHT
+                1 if is_first else EWMA_WEIGHT
             )
-            route.pace = self.most(route) if first else route.pace
+            route.pace = self.most(route) if is_first else route.pace
         if ending == "throttled":
             self.refilled(route)
             if now - route.slowed_at > MIN_DECREASE_GAP:
                 # Each of many dispatchers may use a quarter of the limit: decrease from what this one really
                 # used, not from its rate.
-                even = known(route) / self.me.dispatchers
-                used = current_delivery_rate(dest, now) + even if even else route.pace
+                even_share = known(route) / self.me.dispatchers
+                used_rate = current_delivery_rate(dest, now) + even_share if even_share else route.pace
                 # Among many dispatchers, half an even share would hold the next call past its objective
                 # while the reports show the limit idle.  A call that carries several gains by its wait.  An
                 # endpoint that throttles with nearly all of its limit left is shut.
                 spare = min(
                     SPARE_SHARE * route.reported_limit * route.mean_limit_left, SEC / MAX_THROTTLE_REST
                 ) / (1 + route.throttle_run)
-                shut = report.get("limit_left", 0) >= SHUT_LIMIT_LEFT
-                least = max(even / 2, (not shut) * spare / self.dispatcher.max_batch(push.endpoint))
-                route.pace = max(min(route.pace, used) * RATE_DECREASE, least or INITIAL_RATE / 10)
+                is_shut = report.get("limit_left", 0) >= SHUT_LIMIT_LEFT
+                min_rate = max(
+                    even_share / 2, (not is_shut) * spare / self.dispatcher.max_batch(push.endpoint)
+                )
+                route.pace = max(min(route.pace, used_rate) * RATE_DECREASE, min_rate or INITIAL_RATE / 10)
                 if not route.slowed_at or now - route.slowed_at > THROTTLE_MEMORY:
                     self.dispatcher.host.log(
                         f"destination {dest.id} throttles: rate {route.pace:.2f} calls a second"
@@ -622,16 +640,20 @@
             endpoint.idle_since = 0
 
     def is_rarely_used(self, endpoint):
-        whole = known(endpoint.route)
+        """Whether this dispatcher's part of the traffic is not worth an idle connection."""
+        limit = known(endpoint.route)
         get = self.me.settings.get
-        part = max(
-            whole / self.me.dispatchers, current_delivery_rate(endpoint.destination, self.dispatcher.now)
+        traffic = max(
+            limit / self.me.dispatchers, current_delivery_rate(endpoint.destination, self.dispatcher.now)
         )
         # Calls that a connection carries at once; idle ones only pile up where it is one.
-        carried = get("calls_a_connection", 1)
-        reuses = carried * part * get("idle_closes", 0) / SEC  # until the connection closes by itself
-        scarce = endpoint.kind in self.me.refusing_kinds or (carried == 1 and get("scale_kind") == "rough")
-        return part * IDLE_CONNECTION_WORTH < whole and (scarce or reuses < IDLE_CONNECTION_WORTH)
+        calls_at_once = get("calls_a_connection", 1)
+        # Until the connection closes by itself.
+        reuses = calls_at_once * traffic * get("idle_closes", 0) / SEC
+        is_scarce = endpoint.kind in self.me.refusing_kinds or (
+            calls_at_once == 1 and get("scale_kind") == "rough"
+        )
+        return traffic * IDLE_CONNECTION_WORTH < limit and (is_scarce or reuses < IDLE_CONNECTION_WORTH)
 
 
 class AdaptiveTimeout(Stage):
@@ -641,17 +663,19 @@
         ntf = push.ntf
         dest = push.ntf.destination
         now = self.dispatcher.now
-        again = ntf.topic.get("kind") in ("repeatable", "collapsible")
+        may_repeat = ntf.topic.get("kind") in ("repeatable", "collapsible")
         limit = INITIAL_TIMEOUT
-        late = MIN_OVERDUE
+        overdue_after = MIN_OVERDUE
         if dest.samples >= SAMPLES:
             # The objective is the floor: a cut before it gains nothing and repeats work that was nearly done.
             limit = max(dest.forecast + FACTOR * dest.miss, ntf.topic.get("objective", MIN_TIMEOUT))
             limit <<= max(dest.timeout_doublings, ntf.timeout_doublings)
-            late = dest.forecast + OVERDUE_FACTOR * dest.miss
-        push.overdue_at = now + max(late, MIN_OVERDUE)
-        push.lost_after = max(late, UNRESPONSIVE_AFTER) * (1 if again else ONCE_ONLY_LOST_FACTOR)
-        push.timeout = min(limit, ntf.ttl_at - now) if again else 0
+            overdue_after = dest.forecast + OVERDUE_FACTOR * dest.miss
+        push.overdue_at = now + max(overdue_after, MIN_OVERDUE)
+        push.lost_after = max(overdue_after, UNRESPONSIVE_AFTER) * (
+            1 if may_repeat else ONCE_ONLY_LOST_FACTOR
+        )
+        push.timeout = min(limit, ntf.ttl_at - now) if may_repeat else 0
         return PASS
 
     def back(self, push, ending, latency, wait, report):
