--- a/juniperlanding/carry.py
+++ b/juniperlanding/carry.py
@@ -1,14 +1,14 @@
-"""The module's records as plain lists, for another process to go on with: what `choice` knows, no decision.
+"""The records of the decision module as plain lists, for another process to go on with.  Decides nothing.
 
-`taken_from` writes down every record that an instance reaches, `given_to` builds them again; what belongs to
-the process (settings, seed, number, when it stops) stays.  `VERSION` follows from the outer names of the
-records' fields: another version is not read."""
+`taken_from` writes every record that an instance reaches, `given_to` builds them again.  What belongs to the
+process itself (settings, seed, number, planned stop) is left out.  `VERSION` is computed from the outer names
+of the records' fields: records of another version are not read."""
 
 from zlib import crc32
 
 from juniperlanding.state import Call, Destination, Endpoint, Notification, Push, Route
 
-MEANING = 1  # counts up when a field means something else and keeps its name
+MEANING = 1  # goes up when a field changes its meaning but keeps its outer name
 # For each record its outer name, then outer name and attribute of each field, in the order in which they are
 # written.  A field or class of state.py can be renamed: its outer name stays, and so does VERSION.
 RECORD_NAMES = {
@@ -144,11 +144,12 @@
 }
 RECORDS = tuple(RECORD_NAMES)
 FIELDS = {kind: list(names.values()) for kind, (_, names) in RECORD_NAMES.items()}
-STAYS = {"settings", "seed", "rank", "dispatchers", "stops_at"}
-GOES = list(INSTANCE_NAMES.values())
+PROCESS_FIELDS = {"settings", "seed", "rank", "dispatchers", "stops_at"}
+INSTANCE_FIELDS = list(INSTANCE_NAMES.values())
 VERSION = crc32(
     repr((MEANING, [*INSTANCE_NAMES], [(name, [*names]) for name, names in RECORD_NAMES.values()])).encode()
 )
+# The first entry of a list that stands for something else than a plain value.
 RECORD, TOPIC, DICT, LIST, TUPLE, SET = range(6)
 
 
@@ -159,15 +160,17 @@
 def taken_from(me, terms=None):
     """All that an instance knows: {"records": [[kind, field...]...], "instance": [field...]}.
 
-    terms: number -> topic types of each policy that something owed was taken on under; 0 is the process's own
-    settings."""
-    known = terms or {0: me.settings.get("topic_types", [])}
+    terms: number -> topic types of each policy under which a pending notification was accepted; 0 stands for
+    the process's own settings."""
+    types_by_policy = terms or {0: me.settings.get("topic_types", [])}
     topics = {
-        id(topic): [at, number] if number else [at]
-        for number, types in sorted(known.items(), reverse=True)
-        for at, topic in enumerate(types)
+        id(topic): [position, number] if number else [position]
+        for number, types in sorted(types_by_policy.items(), reverse=True)
+        for position, topic in enumerate(types)
     }
-    numbers, found, records = {}, [], []
+    numbers = {}  # id of a record -> its number
+    found = []
+    records = []
 
     def plain(value):
         if type(value) in FIELDS:
@@ -176,7 +179,7 @@
                 found.append(value)
             return [RECORD, numbers[id(value)]]
         if isinstance(value, dict):
-            return [DICT, *([plain(key), plain(one)] for key, one in value.items())]
+            return [DICT, *([plain(key), plain(entry)] for key, entry in value.items())]
         if isinstance(value, (list, tuple, set)):
             kind = LIST if isinstance(value, list) else TUPLE if isinstance(value, tuple) else SET
             return [kind, *map(plain, sorted(value) if kind == SET else value)]
@@ -186,36 +189,36 @@
         value = getattr(record, name)
         return [TOPIC, *topics.get(id(value), [-1])] if name == "topic" else plain(value)
 
-    instance = [field(me, name) for name in GOES]
-    for record in found:  # grows while it is read
+    instance = [field(me, name) for name in INSTANCE_FIELDS]
+    for record in found:  # grows while its entries are written
         records.append([RECORDS.index(type(record)), *(field(record, name) for name in FIELDS[type(record)])])
     return {"records": records, "instance": instance}
 
 
-def given_to(me, told, terms=None):
-    """Make an instance know what `taken_from` wrote down; `Unknown` leaves it as it was."""
+def given_to(me, state, terms=None):
+    """Give an instance what `taken_from` wrote; where that raises `Unknown`, the instance is as it was."""
     topics = (terms or {}) | {0: me.settings.get("topic_types", [])}
     try:
-        kinds = [RECORDS[kind] for kind, *_ in told["records"]]
-        found = [kind.__new__(kind) for kind in kinds]
+        kinds = [RECORDS[kind] for kind, *_ in state["records"]]
+        built = [kind.__new__(kind) for kind in kinds]
 
-        def whole(value):
+        def rebuilt(value):
             if not isinstance(value, list):
                 return value
             kind, *rest = value
             if kind == RECORD:
-                return found[rest[0]]
+                return built[rest[0]]
             if kind == TOPIC:
                 return topics[sum(rest[1:])][rest[0]] if rest[0] >= 0 else {}
             if kind == DICT:
-                return {whole(key): whole(one) for key, one in rest}
-            return (list, tuple, set)[kind - LIST](map(whole, rest))
+                return {rebuilt(key): rebuilt(entry) for key, entry in rest}
+            return (list, tuple, set)[kind - LIST](map(rebuilt, rest))
 
-        for record, (_, *values) in zip(found, told["records"], strict=True):
+        for record, (_, *values) in zip(built, state["records"], strict=True):
             for name, value in zip(FIELDS[type(record)], values, strict=True):
-                setattr(record, name, whole(value))
-        known = [whole(value) for value in told["instance"]]
-        pairs = list(zip(GOES, known, strict=True))
+                setattr(record, name, rebuilt(value))
+        instance = [rebuilt(value) for value in state["instance"]]
+        pairs = list(zip(INSTANCE_FIELDS, instance, strict=True))
     except (ValueError, TypeError, KeyError, IndexError, RecursionError) as error:
         raise Unknown(f"{type(error).__name__}: {error}") from None
     for name, value in pairs:
--- a/juniperlanding/rules.py
+++ b/juniperlanding/rules.py
@@ -1,8 +1,8 @@
-"""Whether something may be sent, closed or taken on now, and why not.  No I/O and no clock.
+"""Whether something may be sent, closed or accepted now, and why not.  No I/O and no clock.
 
-Every path asks here right before it acts: the last byte of a call (`may_send`), the end of a client's
-connection (`may_close`), the yes to a client (`may_take_on`), the start of calls (`may_start`).  What the
-path knows goes in as a plain record, a `Verdict` with its reason comes out."""
+Each code path asks here right before it acts: before the last byte of a call (`may_send`), the end of a
+client's connection (`may_close`), the acceptance of a notification (`may_take_on`), the start of calls
+(`may_start`).  A plain record of facts goes in, a `Verdict` with its reason comes out."""
 
 import enum
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Why something may not be done; the words stand in counters and log lines."""
+    """Why something may not be done; the values appear in counters and log lines."""
 
     ALLOWED = "allowed"
     ENDED = "ended"
@@ -33,36 +33,37 @@
 
 
 class Rule(enum.StrEnum):
-    """What is counted when it was broken, or would have been but for the last look."""
+    """Rules whose violations are counted, also one that the last check prevented."""
 
-    SEND = "send"  # a path did not call back what must not leave
+    SEND = "send"  # a code path did not recall a call that must not leave
     ANSWERED_TWICE = "answered_twice"
     LATE_END = "late_end"
     CLOSED_UNANSWERED = "closed_unanswered"
 
 
-# No path may come to the last byte with these; the others come with time alone.
+# Reasons that a code path must have found before the last byte; the others can arise by the passage of time.
 BROKEN_BY_A_PATH = frozenset({Reason.NOT_IN_SERVICE, Reason.TOLD_TO_WAIT, Reason.RAN_ONCE})
 
 
 class Verdict(NamedTuple):
-    """`reason` is `Reason.ALLOWED`, or the first one found against it."""
+    """`reason` is `Reason.ALLOWED`, or the first objection found."""
 
     reason: Reason
 
     @property
     def is_allowed(self):
-        """Whether nothing stands against it."""
+        """Whether there is no objection."""
         return self.reason is Reason.ALLOWED
 
 
 @dataclass(frozen=True, slots=True)
 class SendFacts:
-    """One message whose call is about to be complete.  Times are nanoseconds of the dispatcher's clock.
+    """One notification whose call is about to be complete.  Times are nanoseconds of the dispatcher's clock.
 
-    is_owed: it has no final answer yet; deadline: its TTL's end; may_have_run, is_once_only: of earlier
-    calls and its topic; repeats_until: the end of its window for repeats; is_in_service: its endpoint, by the
-    last list; wait_until: the end of the wait that its endpoint told."""
+    is_owed: it is pending, without a final answer; deadline: the end of its TTL; may_have_run: an earlier
+    call of it may have been executed; is_once_only: its topic type is; repeats_until: the end of its window
+    for repeats; is_in_service: its endpoint is, by the last list; wait_until: the end of the Retry-After wait
+    that its endpoint asked for."""
 
     is_owed: bool
     deadline: int
@@ -75,8 +76,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseFacts:
-    """A client's connection.  has_unread: bytes that nobody read yet; is_request_whole: one was read to its
-    last byte; is_answered: the answer to it was written."""
+    """A client's connection.
+
+    has_unread: bytes have arrived that were not read; is_request_whole: a request was read to its last byte;
+    is_answered: the answer to it was written."""
 
     has_unread: bool = False
     is_request_whole: bool = False
@@ -85,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TakeOnFacts:
-    """A message that a client hands in, and the state of the process."""
+    """A notification that a client hands in, and the state of the process."""
 
     is_ready: bool = True
     is_writable: bool = True
@@ -97,14 +100,14 @@
     has_disk: bool = True
 
 
-def first(*found):
-    """The first reason whose condition holds, as a verdict."""
-    return Verdict(next((reason for holds, reason in found if holds), Reason.ALLOWED))
+def first_objection(*checks):
+    """A verdict with the first reason whose condition holds."""
+    return Verdict(next((reason for holds, reason in checks if holds), Reason.ALLOWED))
 
 
 def may_send(facts, now):
-    """Whether the last byte of a call that carries this message may leave."""
-    return first(
+    """Whether the last byte of a call that carries this notification may leave."""
+    return first_objection(
         (not facts.is_owed, Reason.ENDED),
         (facts.may_have_run and facts.is_once_only, Reason.RAN_ONCE),
         (not facts.is_in_service, Reason.NOT_IN_SERVICE),
@@ -115,16 +118,16 @@
 
 
 def may_close(facts):
-    """Whether a client's connection may be ended with no further answer."""
-    return first(
+    """Whether a client's connection may be closed with no further answer."""
+    return first_objection(
         (facts.is_request_whole and not facts.is_answered, Reason.REQUEST_UNANSWERED),
         (facts.has_unread, Reason.REQUEST_UNREAD),
     )
 
 
 def may_take_on(facts):
-    """Whether a client may be told yes."""
-    return first(
+    """Whether a notification may be accepted."""
+    return first_objection(
         (not facts.is_ready, Reason.STARTING),
         (facts.is_stopping, Reason.STOPPING),
         (facts.has_client_left, Reason.CLIENT_LEFT),
@@ -137,5 +140,5 @@
 
 
 def may_start(is_writable, is_frozen):
-    """Whether calls may be started in this round."""
-    return first((is_frozen, Reason.HANDED_OVER), (not is_writable, Reason.NOT_WRITABLE))
+    """Whether calls may be started in this iteration; is_frozen: a hand-over is under way."""
+    return first_objection((is_frozen, Reason.HANDED_OVER), (not is_writable, Reason.NOT_WRITABLE))
--- a/juniperlanding/settings.py
+++ b/juniperlanding/settings.py
@@ -1,6 +1,8 @@
-"""The operators' settings under the project's names, for every host: a renaming, what is absent stays so."""
+"""Maps the names in the operators' settings to those of the decision module, for every host.
 
-NAMES = {
+What is absent in the operators' settings is absent in the result: the module has the defaults."""
+
+SETTING_NAMES = {
     "rank": "rank",
     "n_instances": "dispatchers",
     "tick_ns": "tick",
@@ -39,46 +41,55 @@
     "late_worth": "late_share",
     "fifo_by_key": "ordered",
 }
-KINDS = {"safe": "repeatable", "keyed": "collapsible"}
-GROUPS = ("all", "zone", "cell", None)  # a cell is a destination here, so all of its endpoints
-REPORTED = {"x0": "limit_left", "x1": "limit"}
+KIND_OF_EFFECT = {"safe": "repeatable", "keyed": "collapsible"}
+KNOWN_GROUPS = ("all", "zone", "cell", None)  # a cell is a destination, so "cell" means all of its endpoints
+REPORT_NAMES = {"x0": "limit_left", "x1": "limit"}
+
 
+def integral(value):
+    """Whole numbers as int, also in lists.
 
-def whole(value):
-    """Threat: 1e9 is a number of nanoseconds too, and a fraction where the program counts or shifts ends a
-    round."""
+    1e9 in the settings is a number of nanoseconds too, and arrives as float; where the program counts or
+    shifts, a float would end the iteration with an error."""
     if isinstance(value, list):
-        return [whole(one) for one in value]
+        return [integral(entry) for entry in value]
     return int(value) if isinstance(value, float) and value.is_integer() else value
 
 
-def kind(entry):
-    """Threat: an effect that we have not heard of, or a group of which we cannot tell who drops repeats."""
-    unknown = entry.get("effect") == "keyed" and entry.get("group") not in GROUPS
-    return "once-only" if unknown else KINDS.get(entry.get("effect"), "once-only")
+def topic_kind(entry):
+    """The kind of a topic type.
+
+    Once-only for an unknown effect, and for a group of which it is not known which endpoints drop repeats:
+    what is sent again might run twice there."""
+    is_group_unknown = entry.get("effect") == "keyed" and entry.get("group") not in KNOWN_GROUPS
+    return "once-only" if is_group_unknown else KIND_OF_EFFECT.get(entry.get("effect"), "once-only")
 
 
 def in_our_words(wire):
+    """The module's settings from the operators' settings, `wire`, as read from JSON."""
     settings = {}
-    for path, name in NAMES.items():
+    for path, name in SETTING_NAMES.items():
         value = wire
         for part in path.split("."):
             value = value.get(part) if isinstance(value, dict) else None
         if value is not None:
-            settings[name] = whole(value)
+            settings[name] = integral(value)
     if sizes := settings.get("batch_by_kind"):
-        settings["batch_by_kind"] = [max(size or 1, 1) for size in sizes]  # none or 0: one in a call
-    # How many a second of each tenant's count in full, over all dispatchers.
+        settings["batch_by_kind"] = [max(size or 1, 1) for size in sizes]  # null or 0 means one in a call
+    # Notifications a second, over all dispatchers, up to which a tenant's count with their full benefit.
     shares = {entry.get("name"): entry.get("allowance_per_s") for entry in wire.get("tenants") or []}
     if shares:
         settings["tenants"] = shares
     fades = (wire.get("family_info") or {}).get("fades")
     topics = settings["topic_types"] = []
     for entry in wire.get("request_classes") or []:
-        topic = {name: whole(entry[key]) for key, name in TOPIC_NAMES.items() if entry.get(key) is not None}
-        topics.append(topic | {"kind": kind(entry), "fades": fades})
+        topic = {
+            name: integral(entry[key]) for key, name in TOPIC_NAMES.items() if entry.get(key) is not None
+        }
+        topics.append(topic | {"kind": topic_kind(entry), "fades": fades})
     return settings
 
 
 def report_names(settings):
-    return [REPORTED.get(name, name) for name in settings.get("report", [])]
+    """The module's names for the fields of an endpoint's load report, in the order of the settings."""
+    return [REPORT_NAMES.get(name, name) for name in settings.get("report", [])]
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -748,7 +748,7 @@
     """A field that carry.py misses or has in another place would be lost or mixed up at a hand-over."""
     for kind, (_, names) in carry.RECORD_NAMES.items():
         assert list(names.values()) == [field.name for field in fields(kind)], kind
-    handed_over = [field.name for field in fields(Instance) if field.name not in carry.STAYS]
+    handed_over = [field.name for field in fields(Instance) if field.name not in carry.PROCESS_FIELDS]
     assert list(carry.INSTANCE_NAMES.values()) == handed_over
 
 
