--- a/juniperlanding/drill/__init__.py
+++ b/juniperlanding/drill/__init__.py
@@ -1,1 +1,1 @@
-"""The drill adapter: the decision module on the bench's wire."""
+"""The drill adapter: hosts decision modules behind the wire format of the bench."""
--- a/juniperlanding/drill/codec.py
+++ b/juniperlanding/drill/codec.py
@@ -1,11 +1,14 @@
-"""Frames of the drill wire: little-endian records, decoded straight into calls on a receiver."""
+"""Frames of the drill wire: little-endian records, decoded into names and fields, and actions encoded.
+
+A batch holds the events for all dispatchers at one time; the reply holds the actions that they ask for."""
 
 import struct
 
-BATCH, REPLY = struct.Struct("<IIIQ"), struct.Struct("<III")
-ENTRY = struct.Struct("<BIfBQBH")
-EVERYONE = 0xFFFF
-TRIMMED = 0xFFFF  # the wire's text length is a u16
+BATCH = struct.Struct("<IIIQ")  # number, size of the rest, count of records, clock
+REPLY = struct.Struct("<III")  # number, count of actions, their size
+ENTRY = struct.Struct("<BIfBQBH")  # kind, endpoint, scale, zone, since, state, destination
+EVERYONE = 0xFFFF  # as the addressee of a note
+MAX_TEXT = 0xFFFF  # the length of a text is a u16
 
 OUTCOMES = {
     0: "delivered",
@@ -20,7 +23,8 @@
 STATES = {0: "draining", 2: "ready", 3: "gone"}
 NEWS = {0: "changes", 1: "whole", 2: "cached", 3: "failed"}
 
-# code: (name, fixed part, what follows: B bytes counted by u32, b by u16, F floats by u8, E entries)
+# code: (name, fixed part, what follows it: B bytes counted by a u32, b bytes counted by a u16, F floats counted
+# by a u8, E entries counted by a u32)
 EVENTS = {
     256: ("established", struct.Struct("<HQBIQ"), ""),
     257: ("stop", struct.Struct("<H"), ""),
@@ -48,11 +52,11 @@
     "disconnect": struct.Struct("<HHI"),
     "abort_attempt": struct.Struct("<HHQB"),
 }
-CODES = {name: 320 + at for at, name in enumerate(ACTIONS)}
+CODES = {name: 320 + offset for offset, name in enumerate(ACTIONS)}
 
 
 class Malformed(Exception):
-    """A frame that the wire does not allow."""
+    """A frame that the wire format does not allow."""
 
 
 def read_batch(stream):
@@ -63,7 +67,7 @@
     if len(head) < BATCH.size:
         raise Malformed(f"truncated header: {len(head)} of {BATCH.size} bytes")
     number, size, count, now = BATCH.unpack(head)
-    # the size counts all that follows its own field, so the rest of the header too
+    # The size counts all that follows its own field, so the rest of the header too.
     rest = size - (BATCH.size - 8)
     if rest < 0:
         raise Malformed(f"batch {number}: length {size} is shorter than its header")
@@ -75,46 +79,49 @@
 
 def records(count, body):
     """The records of a batch, one at a time: (name, fields)."""
-    at = 0
+    offset = 0
     try:
         for _ in range(count):
-            (code,) = struct.unpack_from("<H", body, at)
+            (code,) = struct.unpack_from("<H", body, offset)
             if code not in EVENTS:
                 raise Malformed(f"unknown code {code}")
             name, fixed, tail = EVENTS[code]
-            fields = fixed.unpack_from(body, at + 2)
-            at += 2 + fixed.size
+            fields = fixed.unpack_from(body, offset + 2)
+            offset += 2 + fixed.size
             if tail:
-                extra, at = follow(tail, body, at)
-                fields += (extra,)
+                content, offset = tail_content(tail, body, offset)
+                fields += (content,)
             yield name, fields
-    except struct.error as cut:
-        raise Malformed(f"truncated record: {cut}") from cut
-    if at != len(body):
-        raise Malformed(f"{len(body) - at} bytes after the last record")
+    except struct.error as error:
+        raise Malformed(f"truncated record: {error}") from error
+    if offset != len(body):
+        raise Malformed(f"{len(body) - offset} bytes after the last record")
 
 
-def follow(tail, body, at):
+def tail_content(tail, body, offset):
+    """What follows the fixed part of a record, and the offset behind it."""
     if tail == "F":
-        n = body[at] if at < len(body) else 0
-        values = struct.unpack_from(f"<B{n}f", body, at)[1:]
-        return values, at + 1 + 4 * n
-    width = struct.Struct("<H" if tail == "b" else "<I")
-    (n,) = width.unpack_from(body, at)
-    at += width.size
-    size = n * ENTRY.size if tail == "E" else n
-    if at + size > len(body):
-        raise Malformed(f"truncated content: {len(body) - at} of {size} bytes")
-    part = body[at : at + size]
-    return (list(ENTRY.iter_unpack(part)) if tail == "E" else part), at + size
+        count = body[offset] if offset < len(body) else 0
+        values = struct.unpack_from(f"<B{count}f", body, offset)[1:]
+        return values, offset + 1 + 4 * count
+    counter = struct.Struct("<H" if tail == "b" else "<I")
+    (count,) = counter.unpack_from(body, offset)
+    offset += counter.size
+    size = count * ENTRY.size if tail == "E" else count
+    if offset + size > len(body):
+        raise Malformed(f"truncated content: {len(body) - offset} of {size} bytes")
+    part = body[offset : offset + size]
+    return (list(ENTRY.iter_unpack(part)) if tail == "E" else part), offset + size
 
 
 def action(name, dispatcher, *fields, text=None):
+    """One action as bytes; a text that is too long for the wire is cut."""
     if text is None:
         return ACTIONS[name].pack(CODES[name], dispatcher, *fields)
-    return ACTIONS[name].pack(CODES[name], dispatcher, *fields, len(text[:TRIMMED])) + text[:TRIMMED]
+    return ACTIONS[name].pack(CODES[name], dispatcher, *fields, len(text[:MAX_TEXT])) + text[:MAX_TEXT]
 
 
 def reply(number, actions):
+    """The reply to a batch."""
     body = b"".join(actions)
     return REPLY.pack(number, len(actions), len(body)) + body
--- a/juniperlanding/drill/host.py
+++ b/juniperlanding/drill/host.py
@@ -1,4 +1,6 @@
-"""Hosts many dispatchers in one process and turns decoded fields into calls; nothing is shared among them."""
+"""Hosts many dispatchers in one process and turns decoded events into calls; they share no state.
+
+`Drill` has one method for each event of the wire, called by the event's name."""
 
 import json
 import sys
@@ -9,7 +11,7 @@
 
 
 class DrillHost:
-    """What one dispatcher asks for, written as actions in the order asked."""
+    """The host of one dispatcher: appends what it asks for to a list of encoded actions, in that order."""
 
     def __init__(self, number, actions):
         self.number, self.actions = number, actions
@@ -52,12 +54,16 @@
 
 
 class Drill:
+    """All dispatchers of the process, by number, and the endpoint lists that events refer to."""
+
     def __init__(self):
-        self.dispatchers, self.lists, self.actions = {}, {}, []
+        self.dispatchers = {}
+        self.lists = {}
+        self.actions = []
 
     def batch(self, now, count, body):
-        """All events of a batch, then one turn for each dispatcher that had one."""
-        self.actions.clear()  # the hosts write into this one list
+        """Hand in all events of a batch, then run one iteration of each dispatcher that had one."""
+        self.actions.clear()  # all hosts append to this one list
         touched = {}
         for name, fields in codec.records(count, body):
             if name == "directory":
@@ -79,27 +85,29 @@
                     getattr(self, name)(touched[number], *fields[1:])
             except codec.Malformed:
                 raise
-            except Exception as error:  # the wire has one way to say that the decision code failed
-                self.give_in(number, error)
+            except Exception as error:  # the wire's one way to report that the decision code failed
+                self.report_failure(number, error)
         for number, dispatcher in touched.items():
             try:
                 dispatcher.turn()
             except Exception as error:
-                self.give_in(number, error)
+                self.report_failure(number, error)
         return self.actions
 
-    def give_in(self, number, error):
+    def report_failure(self, number, error):
         text = f"{type(error).__name__}: {error}"
         self.actions.append(codec.action("give_in", number, text=text.encode()))
 
+    # ---- events, by name
+
     def enlist(self, dispatcher, seed, settings):
         dispatcher.start()
 
     def established(self, dispatcher, ntf, hop, endpoint, spent):
-        pass  # streams are not part of these deployments: nothing waits on the start of an answer
+        pass  # no deployment has streams, so nothing depends on the start of an answer
 
     def pong(self, dispatcher, endpoint, code, spent, report):
-        pass  # no checks are asked for, so none is answered
+        pass  # the module asks for no checks
 
     def wake(self, dispatcher, tok):
         dispatcher.wake(tok)
@@ -155,6 +163,7 @@
 
 
 def main(source=None, sink=None):
+    """Answer batches from standard input until it ends.  The exit code is 2 after a malformed frame."""
     source, sink = source or sys.stdin.buffer, sink or sys.stdout.buffer
     drill = Drill()
     try:
