--- a/juniperlanding/drill/codec.py
+++ b/juniperlanding/drill/codec.py
@@ -23,8 +23,8 @@
 STATES = {0: "draining", 2: "ready", 3: "gone"}
 NEWS = {0: "changes", 1: "whole", 2: "cached", 3: "failed"}
 
-# code: (name, fixed part, what follows it: B bytes counted by a u32, b bytes counted by a u16, F floats counted
-# by a u8, E entries counted by a u32)
+# code: (name, fixed part, what follows it)
+# B: bytes counted by a u32; b: bytes counted by a u16; F: floats counted by a u8; E: entries counted by a u32
 EVENTS = {
     256: ("established", struct.Struct("<HQBIQ"), ""),
     257: ("stop", struct.Struct("<H"), ""),
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""One rule or one strain a test: the state is built, one thing happens, what was asked for is looked at."""
+"""The decision module, one rule a test: a state is built, one event handed in, and the requests compared."""
 
 from dataclasses import fields
 
@@ -10,7 +10,7 @@
 from juniperlanding.state import Destination, Instance
 
 
-def fed(*latencies):
+def series_of(*latencies):
     dest = Destination(1)
     for latency in latencies:
         learn(dest, latency)
@@ -21,9 +21,9 @@
 
 
 def test_forecast_takes_the_predictor_with_the_least_error():
-    steady = fed(*[100 * MS] * 10)
+    steady = series_of(*[100 * MS] * 10)
     assert (steady.forecast, steady.miss) == (100 * MS, 0)
-    spiked = fed(*[100 * MS] * 9, 900 * MS, 100 * MS)
+    spiked = series_of(*[100 * MS] * 9, 900 * MS, 100 * MS)
     assert spiked.forecast == 100 * MS and spiked.miss > 200 * MS
 
 
@@ -54,7 +54,7 @@
     assert bed.at.destination(1).timeout_doublings == 0
 
 
-# ---- TTL and endings
+# ---- TTL and outcomes
 
 
 def test_late_drop_ends_unsent_once_samples_exist(bed):
@@ -114,7 +114,7 @@
     bed.end(ntf, "error", after=5, number=1)
     held = bed.at.me.notifications[ntf]
     assert retry_is_harmless(held, bed.at.now)
-    bed.at.now += 800 * MS  # 5.8 s of the 6: travel might take it past the window
+    bed.at.now += 800 * MS  # 5.8 s of the 6: it might arrive after the window
     assert not retry_is_harmless(held, bed.at.now)
     bed.turn()
     assert bed.host.all("expired") == [[ntf]] and len(bed.pushed) == 2
@@ -150,7 +150,7 @@
     assert benefit(ntf, bed.at.now + 4 * SEC) == pytest.approx(0.5)
 
 
-# ---- waits, rate, slots, order, list
+# ---- Retry-After, rate, concurrency, ordering, endpoint list
 
 
 def test_told_wait_holds_the_whole_destination():
@@ -337,7 +337,7 @@
         bed.at.now += delay
         bed.at.wake(tok)
     assert len(bed.host.all("subscribe")) == 10
-    assert sum(delays[:3]) < 2 * SEC  # a drain told in between still binds in time
+    assert sum(delays[:3]) < 2 * SEC  # a drain reported in between still takes effect in time
     assert all(1 * SEC <= delay <= 2 * SEC for delay in delays[4:]) and min(delays) >= SEC // 8
 
 
@@ -400,10 +400,10 @@
     assert len(firsts) == 2
 
 
-# ---- health
+# ---- outlier detection, slow start, idle connections
 
 
-def broken(bed, ending="unreachable", times=3):
+def fail_in_a_row(bed, ending="unreachable", times=3):
     for _ in range(times):
         ntf = bed.take()
         bed.turn(1.6)
@@ -415,19 +415,19 @@
 @pytest.mark.parametrize("ending", ["unreachable", "reset", "timeout", "error"])
 def test_bad_outcomes_in_a_row_set_an_endpoint_aside(bed, ending):
     bed.deliver()
-    first = ending == "reset"  # the first break is put down to an idle connection
-    assert broken(bed, ending, 3 + first).down
+    uncounted = ending == "reset"  # the first reset is put down to an idle connection
+    assert fail_in_a_row(bed, ending, 3 + uncounted).down
     sent = len(bed.pushed)
     for _ in range(5):
         bed.take()
     assert bed.turn(0.5) == sent
-    assert bed.turn(3) == sent + 1  # one trial, no burst
+    assert bed.turn(3) == sent + 1  # one probe, no burst
 
 
 @pytest.mark.parametrize("dispatchers", [2, 200])
 def test_one_of_many_leaves_a_doubtful_endpoint_alone_for_longer(dispatchers):
     bed = Bed(scale=10.0, dispatchers=dispatchers)
-    broken(bed, "timeout", times=1)
+    fail_in_a_row(bed, "timeout", times=1)
     for _ in range(12):
         ntf = bed.take()
         if bed.turn(2) > 1:
@@ -439,8 +439,8 @@
 
 def test_a_note_ends_the_doubt_into_a_warm_up_and_odd_notes_are_ignored():
     bed = Bed(may_note=True, dispatchers=200)
-    endpoint = broken(bed)
-    bed.at.note(0, b"back 10")  # its own
+    endpoint = fail_in_a_row(bed)
+    bed.at.note(0, b"back 10")  # its own note
     for body in (b"back 77", b"", b"back", b"back x1", b"\xff 10"):
         bed.at.note(5, body)
     assert endpoint.bad_since
@@ -452,7 +452,7 @@
 
 def test_who_finds_an_endpoint_back_tells_the_others():
     bed = Bed(may_note=True)
-    broken(bed)
+    fail_in_a_row(bed)
     back = bed.take()
     bed.turn(8)
     bed.end(back, "delivered")
@@ -460,7 +460,7 @@
 
 
 def test_trial_goes_to_what_can_best_afford_the_loss(bed):
-    broken(bed)
+    fail_in_a_row(bed)
     bed.take(ONCE_ONLY)
     cheap = bed.take(REPEATABLE)
     sent = bed.turn(3)
@@ -507,7 +507,7 @@
 def test_a_returning_endpoint_warms_under_its_budget():
     bed = Bed(scale=5.0)
     bed.deliver()
-    endpoint = broken(bed)
+    endpoint = fail_in_a_row(bed)
     bed.turn(5)
     back = bed.take()
     bed.turn(3)
@@ -585,11 +585,11 @@
     for _ in range(80):
         bed.take()
     bed.turn()
-    looked = []
-    monkeypatch.setattr(choice, "benefit", lambda *fields: looked.append(fields) or 1)
-    monkeypatch.setattr(bed.at.ttl, "ends", looked.append)
+    ranked = []
+    monkeypatch.setattr(choice, "benefit", lambda *fields: ranked.append(fields) or 1)
+    monkeypatch.setattr(bed.at.ttl, "ends", ranked.append)
     bed.turn(1)
-    assert not looked
+    assert not ranked
 
 
 def test_a_warming_endpoint_gets_calls_of_several_within_the_same_budget():
@@ -600,7 +600,7 @@
     for _ in range(8):
         bed.take()
     assert bed.turn() == 5 and endpoint.tokens < -0.5
-    assert bed.turn(0.1) == 5  # what the call weighed is paid off first
+    assert bed.turn(0.1) == 5  # the tokens that the call cost are refilled first
 
 
 @pytest.mark.parametrize(
@@ -671,7 +671,7 @@
     beds = [Bed(), Bed()]
     for each in beds:
         each.deliver()
-        broken(each)
+        fail_in_a_row(each)
         each.turn(5)
     assert beds[0].host.asked == beds[1].host.asked
 
--- a/tests/test_tables_choice.py
+++ b/tests/test_tables_choice.py
@@ -1,8 +1,9 @@
-"""Plays the tables of the decision module: events in words on a `Bed`, then what must be seen.
+"""Runs the conformance tables of the decision module: events on a `Bed`, then what must be observed.
 
 A row's `play` holds events, "word field name=value" with times in seconds, and between them tables of what
-must be seen then.  A notification is named by its number in the order taken, -1 is the last, * all that is
-out.  With `seeds` the row is played for that many, and what is seen must fill the range that is wanted."""
+must be observed at that point.  A notification is named by its number in the order accepted; -1 is the last
+one, * all that have a push in flight.  With `seeds` the row is run with so many seeds, and the values
+observed must fill the range that is wanted."""
 
 import re
 
@@ -38,6 +39,8 @@
 
 
 class Play:
+    """A `Bed` with one method for each word of the tables, called by name."""
+
     def __init__(self, bed=(), topic=(), bare=(), seed=7):
         topics = [{k: v for k, v in (t | in_ns(dict(topic))).items() if k not in bare} for t in TOPICS]
         self.bed = Bed(**{"topic_types": topics} | in_ns(dict(bed)))
@@ -92,10 +95,13 @@
             dest.route.filled_at = self.at.now
 
     def do_list(self, news, *entries):
-        told = [entry.split(":") for entry in entries]
+        split_entries = [entry.split(":") for entry in entries]
         self.at.listed(
             news,
-            [(int(e), int(d), 0, 50.0, int(zone[0]) if zone else 0, state) for e, d, state, *zone in told],
+            [
+                (int(e), int(d), 0, 50.0, int(zone[0]) if zone else 0, state)
+                for e, d, state, *zone in split_entries
+            ],
         )
 
     def do_withdraw(self, ntf):
@@ -122,7 +128,7 @@
         )
 
     def do_be(self, what, **state):
-        """Put a record into a state; names that end in _ago are times before now."""
+        """Set fields of a record; names that end in _ago are times before now."""
         record = {
             "me": self.me,
             "endpoint": self.bed.endpoint(),
@@ -134,7 +140,7 @@
             value = self.at.now - round(value * SEC) if ago else value
             setattr(record, name.removesuffix("_ago"), value)
 
-    # ---- what is seen
+    # ---- what is observed
 
     def see(self, name):
         ep, dest, all_ = self.me.endpoints.get(10), self.at.destination(1), self.bed.host.all
@@ -183,6 +189,7 @@
 
     @staticmethod
     def letters(numbers):
+        """Endpoints as letters, in the order in which they first appear."""
         seen = list(dict.fromkeys(numbers))
         return "".join("ABCDEFGH"[seen.index(number)] for number in numbers)
 
