--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The drill adapter: frames as the wire's page gives them, and the process as an operator runs it."""
+"""The drill adapter: frames as the wire's page has them, and the process as an operator runs it."""
 
 import json
 import struct
@@ -23,7 +23,7 @@
     return struct.pack("<HHQI", 261, dispatcher, 7, len(text)) + text
 
 
-def roster(*entries, number=0):
+def endpoint_list(*entries, number=0):
     return struct.pack("<HBI", 262, number, len(entries)) + b"".join(codec.ENTRY.pack(*e) for e in entries)
 
 
@@ -36,18 +36,19 @@
 
 
 def run(*frames):
-    done = subprocess.run(
+    """Exit code, standard output and standard error of the process that is fed these frames."""
+    result = subprocess.run(
         [sys.executable, "-m", "juniperlanding.drill"],
         input=b"".join(frames),
         capture_output=True,
         timeout=30,
     )
-    return done.returncode, done.stdout, done.stderr.decode()
+    return result.returncode, result.stdout, result.stderr.decode()
 
 
 START = (
     enlist(request_classes=[{"effect": "safe", "deadline_ns": 10**10, "aim_ns": 10**9}], news_key=1),
-    roster((0, 740432391, 1.0, 0, 0, 2, 57)),
+    endpoint_list((0, 740432391, 1.0, 0, 0, 2, 57)),
     topology(),
 )
 
@@ -91,7 +92,7 @@
     assert codec.action(name, 3, *fields, text=text) == bytes.fromhex(wanted.replace(" ", ""))
 
 
-def test_a_day_on_a_pipe():
+def test_three_batches_on_a_pipe():
     code, out, err = run(frame(*START), frame(incoming(9), number=2), frame(number=3))
     assert (code, err) == (0, "")
     sent = codec.action("try", 3, 9, 740432391, 10**10)
@@ -115,7 +116,8 @@
     assert err.startswith("juniperlanding.drill: ") and err.count("\n") == 1
 
 
-def drilled(*frames):
+def run_drill(*frames):
+    """The adapter in this process after these frames, and the actions that it asked for."""
     drill, stream = Drill(), BytesIO(b"".join(frames))
     actions = []
     while batch := codec.read_batch(stream):
@@ -124,16 +126,16 @@
 
 
 def test_lists_resolve_in_event_order_and_stop_forgets():
-    again = (roster((0, 5, 1.0, 0, 0, 2, 57)), topology(kind=1))
-    drill, actions = drilled(frame(*START, *again))
+    second_list = (endpoint_list((0, 5, 1.0, 0, 0, 2, 57)), topology(kind=1))
+    drill, actions = run_drill(frame(*START, *second_list))
     assert list(drill.dispatchers[3].me.endpoints) == [5]
     stop, vanished = struct.pack("<HH", 257, 3), struct.pack("<HHQ", 265, 3, 9)
-    drill, actions = drilled(frame(*START, incoming(9)), frame(stop, *START, vanished, number=2))
+    drill, actions = run_drill(frame(*START, incoming(9)), frame(stop, *START, vanished, number=2))
     assert len(actions) == 3 and not drill.dispatchers[3].me.notifications
 
 
-def test_a_failure_of_the_module_is_told():
-    drill, actions = drilled(frame(*START, incoming(9, float("nan"))))
+def test_an_error_in_the_module_is_reported():
+    drill, actions = run_drill(frame(*START, incoming(9, float("nan"))))
     assert actions[0][:2] == struct.pack("<H", 327) and b"ValueError" in actions[0]
 
 
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -1,4 +1,4 @@
-"""Who gets a place, and a descriptor, when idle clients hold all that clients may have."""
+"""Which connections are evicted, and who gets a descriptor, when idle clients hold all that they may have."""
 
 import json
 import os
@@ -17,37 +17,37 @@
 from juniperlanding.net import clients as ends
 from juniperlanding.standins.peers import Far, http, member
 
-FEW = {"disk_mb": 3, "sockets": 52}  # room for eight clients, and eight over the limit
+FEW_SOCKETS = {"disk_mb": 3, "sockets": 52}  # room for eight clients, and eight over the limit
 SOCKETS = 64  # 12 for clients and 8 over that, 24 for calls, 20 for the rest
 IDLE = 70  # more than there are descriptors
 ASKS = handed("X-Trace-Id: a2", "Content-Length: 5", body=b"hello")
 
 
 @pytest.fixture
-def at_once(monkeypatch):
-    """Who has to give way gets no moment more."""
+def no_grace(monkeypatch):
+    """Evicted connections get no grace period."""
     monkeypatch.setattr(ends, "REST_WITHIN", 0.0)
     monkeypatch.setattr(ends, "LAST_REST_WITHIN", 0.0)
 
 
-def of(node, stream):
-    """The process's end of a client's connection."""
+def server_line(node, stream):
+    """The process's side of a client's connection."""
     port = stream.socket.getsockname()[1]
     return next(line for line in node.clients.waiting if line.sock.peer()[1] == port)
 
 
-# ---- who gives way
+# ---- which connection is evicted
 
 
-def test_idle_clients_push_out_each_other_and_no_request_that_has_begun(site, at_once):
-    site.limits = FEW
+def test_idle_clients_push_out_each_other_and_no_request_that_has_begun(site, no_grace):
+    site.limits = FEW_SOCKETS
 
     async def scene(site):
         node, stream = await site.start(), await site.client()
         await stream.send_all(ASKS[:-2])
         await site.until(lambda: any(line.raw for line in node.clients.waiting))
-        line, idle = of(node, stream), [await site.client() for _ in range(30)]
-        for gone in idle[:20]:  # each of them after it began
+        line, idle = server_line(node, stream), [await site.client() for _ in range(30)]
+        for gone in idle[:20]:  # each of them after the request had begun
             assert await gone.receive_some() == b""
         assert line in node.clients.waiting
         await stream.send_all(ASKS[-2:])
@@ -56,14 +56,14 @@
     site.run(scene)
 
 
-def test_who_has_asked_unread_is_not_idle(site, at_once):
+def test_who_has_asked_unread_is_not_idle(site, no_grace):
     async def scene(site):
         node, stream = await site.start(), await site.client()
         await site.until(lambda: len(node.clients.waiting) == 1)
-        line, idle = of(node, stream), await site.client()
+        line, idle = server_line(node, stream), await site.client()
         await site.until(lambda: len(node.clients.waiting) == 2)
         stream.socket._sock.send(ASKS[:-2])
-        while line.waiting() is None:  # loopback: it is there at once
+        while line.waiting() is None:  # on loopback it has arrived already
             pass
         node.clients.evict()
         assert await idle.receive_some() == b""
@@ -73,7 +73,7 @@
     site.run(scene)
 
 
-def test_half_requests_push_out_each_other_before_who_is_about_to_ask(site, at_once):
+def test_half_requests_push_out_each_other_before_who_is_about_to_ask(site, no_grace):
     async def scene(site):
         node, halves = await site.start(), [await site.client() for _ in range(3)]
         for stream in halves:
@@ -81,7 +81,7 @@
         await site.until(lambda: sum(bool(line.raw) for line in node.clients.waiting) == 3)
         stream = await site.client()
         await site.until(lambda: len(node.clients.waiting) == 4)
-        line = of(node, stream)
+        line = server_line(node, stream)
         node.clients.evict()
         assert line in node.clients.waiting and len(node.clients.waiting) == 3
         assert await site.submit("a1", stream=stream) == 202
@@ -106,7 +106,7 @@
 
 
 async def submit(site, name, dest=7, ttl=9000, body=b"hello"):
-    """Asks as soon as it is connected, whatever else this thread has to do."""
+    """Send a request as soon as the connection stands, with no checkpoint in between."""
     sock = socket.create_connection(site.address)
     sock.sendall(
         handed(
@@ -123,7 +123,7 @@
 
 
 async def idle(site, ended):
-    """Holds a connection for as long as it may, and then the next one."""
+    """Hold an idle connection until it is closed, then the next one."""
     while True:
         with suppress(OSError, trio.BrokenResourceError):
             async with await site.client() as stream:
@@ -138,7 +138,7 @@
 
 @pytest.mark.parametrize("down", ["silent", "refused"])
 def test_idle_clients_hold_all_places_while_discovery_is_down_and_comes_back(site, down):
-    """A process under a limit of its own takes its list, calls, tells, and writes its ledger anew."""
+    """A process with few descriptors still gets its list, makes calls, reports, and rewrites its ledger."""
     site.limits, site.wire = {"disk_mb": 3, "sockets": SOCKETS}, with_wait(0.2)
     up, notices = [], []
 
@@ -148,12 +148,12 @@
         if first.startswith("POST"):
             notices.extend(json.loads(line)["message"] for line in body.splitlines())
             return http(204)
-        told = {
+        document = {
             "revision": 2,
             "complete": True,
             "members": [member(1, site.far.address), member(2, site.other.address, cell=9)],
         }
-        return http(200, json.dumps(told).encode())
+        return http(200, json.dumps(document).encode())
 
     async def scene(site):
         site.platform.answer = platform
@@ -163,10 +163,12 @@
         try:
             for _ in range(IDLE):
                 site.nursery.start_soon(idle, site, ended)
-            await site.until(lambda: len(ended) > IDLE)  # all places are held; one gives way to the next
+            await site.until(
+                lambda: len(ended) > IDLE
+            )  # all connections are taken; each new one evicts another
             ledger = site.folder / "state" / "ledger"
             first = ledger.stat().st_ino
-            for number in range(24):  # three eighths of the disk may be owed
+            for number in range(24):  # pending notifications may use three eighths of the disk
                 assert await submit(site, f"b{number}", body=b"x" * 60_000) == 202
                 await site.until(lambda least=number - 5: len(site.far.got) > least)
             await site.until(lambda: len(site.far.got) >= 24 and ledger.stat().st_ino != first)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The one place that says yes or no: its verdicts, the paths that ask it, and defects that it finds."""
+"""The rules module: its verdicts, the code paths that ask it, and defects that its last check finds."""
 
 import time
 from dataclasses import replace
@@ -21,7 +21,7 @@
 from juniperlanding.rules import CloseFacts, Reason, SendFacts, TakeOnFacts
 from juniperlanding.standins.peers import http, member
 
-SENDS = SendFacts(
+SENDABLE = SendFacts(
     is_owed=True,
     deadline=10,
     may_have_run=False,
@@ -48,7 +48,7 @@
     ],
 )
 def test_what_may_be_sent(changed, now, reason):
-    verdict = rules.may_send(replace(SENDS, **changed), now)
+    verdict = rules.may_send(replace(SENDABLE, **changed), now)
     assert verdict.reason is reason and verdict.is_allowed == (reason is Reason.ALLOWED)
 
 
@@ -90,7 +90,7 @@
 
 
 def test_a_process_that_stands_still_before_the_last_byte_sends_nothing_past_its_deadline(site, monkeypatch):
-    """Its time is up between the look at the clock and the write, with no step of the scheduler between."""
+    """The deadline passes between the check and the write, with no checkpoint of the scheduler in between."""
     send_in_two = Line.send_in_two
 
     async def held(line, *events, leaves):
@@ -116,12 +116,12 @@
     site.run(scene)
 
 
-# ---- defects put in on purpose
+# ---- seeded defects
 
 
 @pytest.mark.parametrize("how", ["drain", "wait"])
 def test_a_call_that_no_path_calls_back_is_withheld_and_counted(site, monkeypatch, how):
-    """Defect: `recall` does nothing, so a call that still connects outlives the news that binds it."""
+    """Seeded defect: `recall` does nothing, so a call that connects outlives the news that forbids it."""
     monkeypatch.setattr(Endpoints, "recall", lambda self, endpoints: None)
     site.violations = 1
 
@@ -148,7 +148,7 @@
 
 
 def test_a_connection_that_is_closed_over_a_whole_request_is_counted(site, monkeypatch):
-    """Defect: the answer is decided and never written."""
+    """Seeded defect: the answer is decided and never written."""
 
     async def unanswered(self, line, status, headers=(), payload=b"", reason="closed"):
         return "closed_by_us"
@@ -167,7 +167,7 @@
 
 
 def test_a_second_end_is_counted_and_not_told(site):
-    """Defect: the module ends twice what it has ended already."""
+    """Seeded defect: the decision module ends a notification a second time."""
     site.violations = 1
 
     async def scene(site):
@@ -181,7 +181,7 @@
 
 
 def test_an_end_that_comes_late_is_counted(site, monkeypatch):
-    """Defect: the module holds an end back, and the owner's own look comes too late."""
+    """Seeded defect: the decision module holds an end back, and the owner's own check comes too late."""
     monkeypatch.setattr("juniperlanding.net.owner.LAST_CALL", SEC)
     site.violations = 1
 
@@ -195,7 +195,7 @@
     site.run(scene)
 
 
-# ---- following one id
+# ---- tracing one id
 
 
 def test_one_id_can_be_followed_from_its_yes_to_its_end(site):
@@ -223,7 +223,7 @@
 
 
 def test_a_record_that_takes_longer_to_write_than_its_message_has_lets_nothing_leave(site):
-    """The disk holds the write of `p` up past the TTL; the time is looked at after it."""
+    """The write of the push record takes until after the TTL; the time is checked after it."""
 
     class SlowDisk(Files):
         def write(self, file, data):
