--- a/juniperlanding/choice.py
+++ b/juniperlanding/choice.py
@@ -181,7 +181,10 @@
 
 
 class Stage:
-    """One concern of sending.  A push passes `out` of each stage in order, its outcome `back` in reverse."""
+    """One concern of sending.
+
+    A push passes `out` of each stage in order, which returns PASS, KEEP or END and narrows `push.options` or
+    fills in other fields of the push.  Its outcome passes `back` of each stage in reverse order."""
 
     def __init__(self, dispatcher):
         self.dispatcher = dispatcher
@@ -738,11 +741,12 @@
     # ---- events
 
     def start(self):
+        """Subscribe to the endpoint list, where it is asked for."""
         if self.me.settings.get("list_mode") == "ask":
             self.host.subscribe(True)
 
     def wake(self, tok):
-        """A timer has run off."""
+        """A timer has expired."""
         self.me.wakes.discard(tok)
         if tok == self.me.subscribe_at:
             self.host.subscribe(True)
@@ -829,7 +833,7 @@
             ntf.counts = self.me.settings.get("over_share", 1.0) if due > self.now else 1.0
             self.me.tenants[tenant] = due + (due <= self.now) * int(SEC * self.me.dispatchers / share)
         self.me.notifications[ntf_id] = ntf
-        # A push that failed before the restart: the failing state of its endpoints would be forgotten.
+        # A restart forgets that endpoints were failing: where a push failed before it, they start slowly.
         failed = pushes > bool(ran_at) or 0 < ran_at < self.now - MIN_OVERDUE
         for endpoint in filter(self.health.has_small_share, dest.endpoints if failed else ()):
             endpoint.back_at = self.now
@@ -861,7 +865,7 @@
             self.finish(self.me.notifications[ntf_id])
 
     def note(self, rank, body):
-        """A note from another dispatcher: an endpoint that we hold for failing delivers again."""
+        """A note from another dispatcher: an endpoint that fails for this dispatcher delivers again."""
         word, _, number = body.partition(b" ")
         endpoint = self.me.endpoints.get(int(number)) if word == b"back" and number.isdigit() else None
         if endpoint and endpoint.bad_since and rank != self.me.rank:
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -163,9 +163,8 @@
         try:
             for _ in range(IDLE):
                 site.nursery.start_soon(idle, site, ended)
-            await site.until(
-                lambda: len(ended) > IDLE
-            )  # all connections are taken; each new one evicts another
+            # All connections are taken, and each new one evicts another.
+            await site.until(lambda: len(ended) > IDLE)
             ledger = site.folder / "state" / "ledger"
             first = ledger.stat().st_ino
             for number in range(24):  # pending notifications may use three eighths of the disk
