--- a/juniperlanding/net/config.py
+++ b/juniperlanding/net/config.py
@@ -1,5 +1,5 @@
-"""What one dispatcher is told: the platform's environment and JSON file, and before their absence the
-operators' file.  Where both name a value the platform's goes."""
+"""The configuration of one dispatcher, from the platform's environment and JSON file and from the operators'
+file.  Where both set a value, the platform's is used."""
 
 import json
 from dataclasses import dataclass
@@ -9,36 +9,36 @@
 from juniperlanding.net import protocol
 from juniperlanding.settings import in_our_words, report_names
 
-MOST_FILE = 64 << 20  # bytes of the platform's file: some hundred thousand endpoints
+MAX_FILE_BYTES = 64 << 20  # of the platform's file; enough for some hundred thousand endpoints
 
 
 class Untold(Trouble, KeyError):
-    """Neither the platform nor an operators' file tells a value without which nothing can start."""
+    """A value that is required to start is set by neither the platform nor an operators' file."""
 
     code = "config-untold"
-    remedy = "Tell it in the operators' file (docs/configuration.md) or by the platform's EDGE_* values."
+    remedy = "Set it in the operators' file (docs/configuration.md) or by the platform's EDGE_* values."
 
     @property
     def what(self):
-        return f"{self.args[0]} is told by neither the platform nor an operators' file"
+        return f"{self.args[0]} is set by neither the platform nor an operators' file"
 
 
 class PlatformRefused(Trouble, ValueError):
-    """The platform's file is not what it should be; at SIGHUP the old values stay in force."""
+    """The platform's file has invalid contents; at SIGHUP the old values stay in force."""
 
     code = "platform-refused"
-    remedy = "Have the file that EDGE_CONFIG names mended, then start again or send SIGHUP."
+    remedy = "Have the file that EDGE_CONFIG names corrected, then start again or send SIGHUP."
 
 
 class PlatformUnreadable(Trouble, OSError):
-    """The platform's file cannot be read; after SIGHUP it is tried again by itself."""
+    """The platform's file cannot be read; after SIGHUP the read is retried automatically."""
 
     code = "platform-unreadable"
-    remedy = "Look at the path that EDGE_CONFIG names, at the rights to it and at its disk."
+    remedy = "Check the path that EDGE_CONFIG names, its permissions and its disk."
 
 
 def trouble(error):
-    """What staff are told of a configuration that could not be read, whatever was raised."""
+    """The `Trouble` to report for a configuration that could not be read, whatever was raised."""
     if isinstance(error, Trouble):
         return error
     if isinstance(error, OSError):
@@ -51,7 +51,7 @@
     name: str
     listen: tuple
     discovery: tuple
-    management: tuple | None  # where operators ask; None: nowhere
+    management: tuple | None  # address of the admin port; None: no admin port
     state: str
     seed: str
     limits: dict
@@ -62,11 +62,12 @@
     connect_within: int
     report: dict
     log: dict
-    fleet: object = None  # the operators' `Fleet`; nothing else turns it on
-    policy: object = None  # their `Policy`, in the same way
-    shards: object = None  # their `Shards`, in the same way
-    sites: bool = False  # whether the cost of losing a site is foretold; the operators' file alone says so
-    trace: bool = False  # whether the log follows single messages; the operators' file alone says so
+    # The following are set by the operators' file alone.
+    fleet: object = None  # a `Fleet`, or None when turned off
+    policy: object = None  # a `Policy`, or None when turned off
+    shards: object = None  # a `Shards`, or None when turned off
+    sites: bool = False  # whether the cost of losing a site is forecast
+    trace: bool = False  # whether the log follows single notifications
 
     @property
     def disk(self):
@@ -82,67 +83,77 @@
 
 
 def read(environ, files, operators=None):
-    """The configuration in force; `operators` is `from_operators`'s result.
+    """The configuration in force; `operators` is what `from_operators` returned.
 
-    Raises KeyError for what nobody told, OSError or ValueError for a file that cannot be read; `trouble`
-    makes of each, and of what an odd file raises further in, what staff are told.
-    Threat: the environment stays as it was at the start, while the file is replaced; so the file wins."""
-    told, ours = {}, operators or Ours()
+    Raises KeyError for a required value that is not set, OSError or ValueError for a file that cannot be
+    read, and other exceptions for one with unexpected contents; `trouble` turns any of them into what is
+    reported.  The discovery address of the platform's file overrides the environment's: the environment stays
+    as it was when the process started, while the file is replaced."""
+    platform, operator_settings = {}, operators or OperatorSettings()
     if "EDGE_CONFIG" in environ or not operators:
-        told = json.loads(files.read(need(environ.get("EDGE_CONFIG"), "EDGE_CONFIG"), MOST_FILE))
-        if not isinstance(told, dict):
-            raise PlatformRefused("the platform's file is no JSON object")
-    told = without_nulls(told)
-    wire = told.get("settings", {})
-    settings = in_our_words(wire)
-    if operators and not wire.get("request_classes"):
+        platform = json.loads(files.read(required(environ.get("EDGE_CONFIG"), "EDGE_CONFIG"), MAX_FILE_BYTES))
+        if not isinstance(platform, dict):
+            raise PlatformRefused("the platform's file is not a JSON object")
+    platform = without_nulls(platform)
+    platform_settings = platform.get("settings", {})
+    settings = in_our_words(platform_settings)
+    if operators and not platform_settings.get("request_classes"):
         del settings["topic_types"]
-    settings = {"topic_types": []} | ours.settings | settings
-    # The platform's report fields come without our names, the operators' with them.
-    report = dict(zip(settings.get("report", []), report_names(settings), strict=True)) or ours.report
-    management = environ.get("EDGE_MANAGEMENT") or told.get("management") or ours.management
+    settings = {"topic_types": []} | operator_settings.settings | settings
+    # `settings` has the platform's report fields without this program's names for them, the operators' file
+    # has them with these names.
+    report = (
+        dict(zip(settings.get("report", []), report_names(settings), strict=True)) or operator_settings.report
+    )
+    management = environ.get("EDGE_MANAGEMENT") or platform.get("management") or operator_settings.management
     return Config(
-        name=environ.get("EDGE_NAME") or told.get("name") or ours.name or "dispatcher",
+        name=environ.get("EDGE_NAME") or platform.get("name") or operator_settings.name or "dispatcher",
         listen=protocol.address(
-            environ.get("EDGE_LISTEN") or told.get("listen") or need(ours.listen, "listen")
+            environ.get("EDGE_LISTEN")
+            or platform.get("listen")
+            or required(operator_settings.listen, "listen")
         ),
         discovery=protocol.address(
-            told.get("discovery") or environ.get("EDGE_DISCOVERY") or need(ours.discovery, "discovery")
+            platform.get("discovery")
+            or environ.get("EDGE_DISCOVERY")
+            or required(operator_settings.discovery, "discovery")
         ),
         management=protocol.address(management) if management else None,
-        state=environ.get("EDGE_STATE") or need(ours.state, "EDGE_STATE" if not operators else "state"),
-        seed=str(told.get("seed", ours.seed)),
-        limits=ours.limits | without_nulls(told.get("limits", {})),
-        known=told.get("known") or ours.known,
+        state=environ.get("EDGE_STATE")
+        or required(operator_settings.state, "EDGE_STATE" if not operators else "state"),
+        seed=str(platform.get("seed", operator_settings.seed)),
+        limits=operator_settings.limits | without_nulls(platform.get("limits", {})),
+        known=platform.get("known") or operator_settings.known,
         settings=settings,
-        kinds=wire.get("models") or ours.kinds,
-        zones=wire.get("areas") or ours.zones,
-        # Threat: a time of nothing, in which no connection ever comes up.
-        connect_within=(wire.get("permissions") or {}).get("connect_timeout_ns") or ours.connect_within,
+        kinds=platform_settings.get("models") or operator_settings.kinds,
+        zones=platform_settings.get("areas") or operator_settings.zones,
+        # `or`: with a time limit of zero no connection would ever be established.
+        connect_within=(platform_settings.get("permissions") or {}).get("connect_timeout_ns")
+        or operator_settings.connect_within,
         report=report,
-        log=ours.log,
-        trace=ours.trace,
-        fleet=ours.fleet,
-        policy=ours.policy,
-        shards=ours.shards,
-        sites=ours.sites,
+        log=operator_settings.log,
+        trace=operator_settings.trace,
+        fleet=operator_settings.fleet,
+        policy=operator_settings.policy,
+        shards=operator_settings.shards,
+        sites=operator_settings.sites,
     )
 
 
-def without_nulls(told):
-    """What is told as null is not told."""
-    return {name: value for name, value in told.items() if value is not None}
+def without_nulls(values):
+    """The same without nulls: a value that is null counts as not set."""
+    return {name: value for name, value in values.items() if value is not None}
 
 
-def need(value, name):
+def required(value, name):
     if not value:
         raise Untold(name)
     return value
 
 
 @dataclass(slots=True)
-class Ours:
-    """The operators' file in the form that the platform's is merged with; as it stands, nothing told."""
+class OperatorSettings:
+    """The values of the operators' file, to be merged with the platform's; the defaults stand for no file."""
 
     name: str = ""
     listen: str = ""
@@ -170,36 +181,38 @@
         self.kinds, self.zones = self.kinds or [], self.zones or []
 
 
-def from_operators(told):
-    """An `Ours` from what `ground.file.read` gives."""
+def from_operators(operators_file):
+    """The `OperatorSettings` of a file that `ground.file.read` has read."""
     from juniperlanding.ground import file
 
-    value = {key: file.plain_value(found) for key, (found, _) in told.values.items()}
-    get = {**file.defaults(), **value}.get
-    settings = {name: value[key] for key, name in file.setting_names().items() if value.get(key) is not None}
-    kinds = [kind for kind, _ in told.tables["kind"]]
+    values = {key: file.plain_value(found) for key, (found, _) in operators_file.values.items()}
+    get = {**file.defaults(), **values}.get
+    settings = {
+        name: values[key] for key, name in file.setting_names().items() if values.get(key) is not None
+    }
+    kinds = [kind for kind, _ in operators_file.tables["kind"]]
     settings["batch_by_kind"] = [kind.batch for kind in kinds]
     settings["routes_apart"] = [kind.routes_apart for kind in kinds]
-    if told.tables["topic"]:
-        settings["topic_types"] = [file.topic(entry) for entry, _ in told.tables["topic"]]
+    if operators_file.tables["topic"]:
+        settings["topic_types"] = [file.topic(entry) for entry, _ in operators_file.tables["topic"]]
     members = [
         {
-            "id": e.id,
-            "host_port": e.address,
-            "locality": e.zone or "",
-            "flavor": e.kind,
-            "cell": e.destination,
+            "id": endpoint.id,
+            "host_port": endpoint.address,
+            "locality": endpoint.zone or "",
+            "flavor": endpoint.kind,
+            "cell": endpoint.destination,
             "phase": "in_service",
-            "size": e.scale,
+            "size": endpoint.scale,
         }
-        for e, _ in told.tables["endpoint"]
+        for endpoint, _ in operators_file.tables["endpoint"]
     ]
     limits = {
         "memory_mb": get("limits.memory") / 1e6,
         "disk_mb": get("limits.disk") / 1e6,
         "sockets": get("limits.sockets"),
     }
-    return Ours(
+    return OperatorSettings(
         name=get("instance.name"),
         listen=get("instance.listen"),
         discovery=get("instance.discovery"),
@@ -224,7 +237,7 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """How a dispatcher takes part in its fleet; addresses are (host, port)."""
+    """How a dispatcher joins its fleet; addresses are (host, port)."""
 
     address: tuple
     advertise: tuple | None
@@ -235,7 +248,7 @@
 
 
 def fleet(get):
-    """A `Fleet`, or None unless the operators' own file says `enabled = true`."""
+    """The `Fleet`, or None unless the operators' file says `enabled = true`."""
     if not get("fleet.enabled"):
         return None
     advertise = get("fleet.advertise")
@@ -251,17 +264,17 @@
 
 @dataclass(slots=True)
 class Policy:
-    """How a dispatcher is bound by the fleet's policy; voters: name -> (host, port), licence in ns."""
+    """How a dispatcher agrees on the fleet's policy."""
 
-    voters: dict
+    voters: dict  # name -> (host, port)
     folder: str
     file: str | None
-    licence: int
+    licence: int  # length of a lease in nanoseconds
     drift: float
 
 
 def policy(get):
-    """A `Policy`, or None unless the operators' own file says `enabled = true`."""
+    """The `Policy`, or None unless the operators' file says `enabled = true`."""
     if not get("policy.enabled"):
         return None
     voters = dict(voter.rpartition("@")[::2] for voter in get("policy.voters"))
@@ -276,15 +289,15 @@
 
 @dataclass(slots=True)
 class Shards:
-    """How the ledger is split: bytes of a shard (None: by the disk), and how many there may be."""
+    """How the ledger is split into shards."""
 
-    most: int | None
-    least: int | None
-    count: int
+    most: int | None  # the largest size of a shard in bytes; None: derived from the disk limit
+    least: int | None  # the size in bytes below which shards are merged; None: derived from `most`
+    count: int  # the most shards that there may be
 
 
 def shards(get):
-    """A `Shards`, or None unless the operators' own file says `enabled = true`."""
+    """The `Shards`, or None unless the operators' file says `enabled = true`."""
     if not get("shards.enabled"):
         return None
     return Shards(get("shards.most"), get("shards.least"), get("shards.count"))
--- a/juniperlanding/net/parts.py
+++ b/juniperlanding/net/parts.py
@@ -1,44 +1,45 @@
-"""The one place where optional parts plug in: a list in the order in which they need each other."""
+"""Builds the optional parts of a dispatcher (`ground.part.Part`), each after those that it depends on."""
 
 from juniperlanding.net.ledger import Ledger, whole
 
 
 def made(node):
-    """The parts (`ground.part.Part`) that the operators' file turned on; off, nothing of them is imported."""
-    told, parts = node.config, []
-    if told.fleet:
+    """The parts that the operators' file turns on; a part that is off is not even imported."""
+    config, parts = node.config, []
+    if config.fleet:
         from juniperlanding.fleet.agent import Agent
 
-        fleet = Agent(told.fleet, told.name, told.state, node.world, node.load, node.log)
+        fleet = Agent(config.fleet, config.name, config.state, node.world, node.load, node.log)
         parts.append(fleet)
-        if told.policy:
+        if config.policy:
             from juniperlanding.accord.part import Policy
 
-            parts.append(Policy(told.policy, node, fleet))
-        if told.sites:
+            parts.append(Policy(config.policy, node, fleet))
+        if config.sites:
             from juniperlanding.sites.part import Sites
 
             prices = [part.crossings for part in parts if part.section == "policy"]
             parts.append(Sites(node, fleet, *prices))
-    if told.shards:
+    if config.shards:
         from juniperlanding.shards.part import Shards
 
-        parts.append(Shards(told.shards, node))
+        parts.append(Shards(config.shards, node))
     return parts
 
 
-def books(told, files, inherited, clock):
-    """The ledger of a folder: one file, or shards; `Split` for one that is split while shards are off."""
-    if told.shards:
+def books(config, files, inherited, clock):
+    """The ledger of the state folder: one file, or shards.  Raises `Split` for a ledger that is split into
+    shards although these are turned off."""
+    if config.shards:
         from juniperlanding.shards.books import Sharded
 
-        return Sharded(told.state, told.disk, files, inherited, clock)
-    whole(files, told.state)
-    return Ledger(told.state, told.disk, files, inherited, clock)
+        return Sharded(config.state, config.disk, files, inherited, clock)
+    whole(files, config.state)
+    return Ledger(config.state, config.disk, files, inherited, clock)
 
 
-def merged(parts, what, before):
-    """One map of `before` and of what each part's method of that name gives."""
+def merged(parts, method, initial):
+    """One dict of `initial` and of what the method of that name returns for each part; later parts win."""
     for part in parts:
-        before = before | getattr(part, what)()
-    return before
+        initial = initial | getattr(part, method)()
+    return initial
