--- a/juniperlanding/handover/__init__.py
+++ b/juniperlanding/handover/__init__.py
@@ -1,1 +1,1 @@
-"""How one process of a dispatcher takes over from another (docs/upgrade.md): who owns, and what is said."""
+"""Hand-over of a dispatcher from an old to a new process: messages and state machines (docs/upgrade.md)."""
--- a/juniperlanding/handover/channel.py
+++ b/juniperlanding/handover/channel.py
@@ -1,4 +1,4 @@
-"""A Unix socket in the state folder, for processes of the same user: messages, and descriptors with them."""
+"""A Unix socket in the state folder that carries messages and descriptors between processes of one user."""
 
 import array
 import errno
@@ -12,89 +12,94 @@
 from juniperlanding.handover import frames
 
 FILE = "successor"
-LONG = 100  # bytes of a path that a socket's address still takes
-QUEUE = 4
-BLOCK = 1 << 16
+MAX_PATH_BYTES = 100  # the longest path that fits into a Unix socket address
+BACKLOG = 4
+RECEIVE_BYTES = 1 << 16
 
 
 @contextmanager
-def short(folder):
-    """A path to the socket's file that is short enough, however long the folder's is."""
+def short_path(folder):
+    """A path to the socket file that fits into a socket address, however long the folder's path is."""
     path = os.path.join(folder, FILE)
-    if len(os.fsencode(path)) <= LONG:
+    if len(os.fsencode(path)) <= MAX_PATH_BYTES:
         yield path
         return
-    held = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+    descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
-        yield f"/proc/self/fd/{held}/{FILE}"
+        yield f"/proc/self/fd/{descriptor}/{FILE}"
     finally:
-        os.close(held)
+        os.close(descriptor)
 
 
 class Channel:
-    """One end.  Threat: a stranger or another program at the other; `mine` tells, and bounds hold."""
+    """One end of a connection.
+
+    The other end may be another user's process or an unrelated program: `is_same_user` tells the first, and
+    the limits of `frames` bound what the second can send."""
 
     def __init__(self, raw):
         self.raw, self.sock = raw, trio.socket.from_stdlib_socket(raw)
 
     def peer(self):
-        """(process, user) at the other end."""
+        """(process id, user id) at the other end."""
         pid, user, _ = struct.unpack("3i", self.raw.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12))
         return pid, user
 
-    def mine(self):
+    def is_same_user(self):
         return self.peer()[1] == os.geteuid()
 
-    async def say(self, word, files=(), **more):
-        """Send a message and the descriptors that go with it; OSError when nobody is there."""
-        data = memoryview(frames.pack(word, len(files), **more))
+    async def send(self, message_type, descriptors=(), **fields):
+        """Send a message and the descriptors that belong to it; OSError when the other end is closed."""
+        data = memoryview(frames.pack(message_type, len(descriptors), **fields))
         while data:
             data = data[await self.sock.send(data) :]
-        for at in range(0, len(files), frames.TOGETHER):
-            some = array.array("i", files[at : at + frames.TOGETHER])
+        for start in range(0, len(descriptors), frames.DESCRIPTORS_PER_SEND):
+            some = array.array("i", descriptors[start : start + frames.DESCRIPTORS_PER_SEND])
             await self.sock.sendmsg([b"f"], [(socket.SOL_SOCKET, socket.SCM_RIGHTS, some)])
 
-    def say_now(self, word):
-        """The same without waiting: it has left, or OSError and none of it has."""
-        data = frames.pack(word)
+    def send_nowait(self, message_type):
+        """Send a message without waiting: either all of it is sent, or none of it and OSError is raised."""
+        data = frames.pack(message_type)
         if self.raw.send(data) < len(data):
             raise OSError(errno.EAGAIN, "the channel is full")
 
-    async def hear(self, whole=False):
-        """The next message and the descriptors that came with it; None at the end.
+    async def receive(self, allow_offer=False):
+        """The next message and the descriptors that came with it; None when the other end has closed.
 
-        Only a `whole` offer may be large or bring descriptors.  Raises `frames.Noise`, or OSError; then no
-        descriptor is left open."""
-        if not (head := await self.whole(frames.HEAD.size)):
+        Only an offer may be large or bring descriptors.  Raises `frames.Noise` or OSError; then all received
+        descriptors have been closed."""
+        if not (header := await self.receive_exactly(frames.HEADER.size)):
             return None
-        length, count = frames.head(head, whole)
-        message, files = frames.message(await self.whole(length)), []
-        room = socket.CMSG_SPACE(frames.TOGETHER * array.array("i").itemsize)
+        length, count = frames.read_header(header, allow_offer)
+        message = frames.read_message(await self.receive_exactly(length))
+        descriptors = []
+        space = socket.CMSG_SPACE(frames.DESCRIPTORS_PER_SEND * array.array("i").itemsize)
         try:
-            while len(files) < count:
-                byte, told, flags, _ = await self.sock.recvmsg(1, room, socket.MSG_CMSG_CLOEXEC)
-                for level, kind, data in told:
+            while len(descriptors) < count:
+                byte, ancillary, flags, _ = await self.sock.recvmsg(1, space, socket.MSG_CMSG_CLOEXEC)
+                for level, kind, data in ancillary:
                     if (level, kind) == (socket.SOL_SOCKET, socket.SCM_RIGHTS):
                         some = array.array("i")
                         some.frombytes(data[: len(data) - len(data) % some.itemsize])
-                        files.extend(some)
-                if not byte or not told or flags & socket.MSG_CTRUNC:
+                        descriptors.extend(some)
+                if not byte or not ancillary or flags & socket.MSG_CTRUNC:
                     raise OSError(errno.EMFILE, "descriptors are missing")
         except BaseException:
-            drop(files)
+            drop(descriptors)
             raise
-        return message, files
-
-    async def whole(self, size):
-        """So many bytes; b"" when the other side ended before the first."""
-        parts, left = [], size
-        while left:
-            if not (part := await self.sock.recv(min(left, BLOCK))):
+        return message, descriptors
+
+    async def receive_exactly(self, size):
+        """That many bytes; b"" when the other end closed before the first."""
+        parts = []
+        missing = size
+        while missing:
+            if not (part := await self.sock.recv(min(missing, RECEIVE_BYTES))):
                 if parts:
-                    raise frames.Noise("ended within a message")
+                    raise frames.Noise("the channel closed within a message")
                 return b""
             parts.append(part)
-            left -= len(part)
+            missing -= len(part)
         return b"".join(parts)
 
     def close(self):
@@ -102,25 +107,25 @@
 
 
 class Harbour:
-    """Where a successor calls; the holder of the folder's lock alone may make one."""
+    """The listening end; only the process that holds the lock of the folder may create one."""
 
     def __init__(self, folder):
         raw = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        before = os.umask(0o177)
+        umask = os.umask(0o177)
         try:
-            with short(folder) as path:
+            with short_path(folder) as path:
                 try:
-                    os.unlink(path)  # an earlier process's
+                    os.unlink(path)  # left by an earlier process
                 except FileNotFoundError:
                     pass
                 raw.bind(path)
-            raw.listen(QUEUE)
+            raw.listen(BACKLOG)
             raw.setblocking(False)
         except BaseException:
             raw.close()
             raise
         finally:
-            os.umask(before)
+            os.umask(umask)
         self.raw = raw
 
     async def accept(self):
@@ -129,29 +134,29 @@
             try:
                 return Channel(self.raw.accept()[0])
             except BlockingIOError:
-                continue  # it ended before it was taken
+                continue  # the caller closed the connection before it was accepted
 
     def close(self):
         trio.lowlevel.notify_closing(self.raw)
         self.raw.close()
 
 
-def drop(files):
-    """Close descriptors that were heard and are not wanted."""
-    for file in files:
+def drop(descriptors):
+    """Close descriptors that were received and are not used."""
+    for descriptor in descriptors:
         try:
-            os.close(file)
+            os.close(descriptor)
         except OSError:
-            pass  # wrapped, and closed with its wrapper
+            pass  # already closed with the object that wraps it
 
 
 def call(folder):
-    """A channel to the process that has a folder; OSError when nobody answers there."""
+    """A channel to the process that holds a folder; OSError when no process accepts there."""
     raw = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     try:
         raw.setblocking(False)
-        with short(folder) as path:
-            raw.connect(path)  # a Unix socket connects at once or not at all
+        with short_path(folder) as path:
+            raw.connect(path)  # a Unix socket connects at once or fails
     except BaseException:
         raw.close()
         raise
--- a/juniperlanding/handover/frames.py
+++ b/juniperlanding/handover/frames.py
@@ -1,45 +1,58 @@
-"""The words between two processes of one dispatcher: a head with lengths, then JSON; no I/O.
+"""Message format of a hand-over between two processes of one dispatcher: a header, then JSON; no I/O.
 
-    head: b"JLH1", length of the text, how many descriptors follow (big endian, 4 + 4 + 2 bytes)
+    header: b"JLH1", length of the JSON text, number of descriptors (big endian, 4 + 4 + 2 bytes)
 
-A message is an object whose `say` is its word.  Descriptors follow the text, `TOGETHER` at most with each
-further byte."""
+A message is a JSON object whose key `say` is its type.  File descriptors follow the text, at most
+`DESCRIPTORS_PER_SEND` with each further byte."""
 
 import json
 import struct
 
-HEAD = struct.Struct(">4sIH")
-MARK, MOST_WORD = b"JLH1", 1 << 12
-MOST_TEXT, MOST_FILES, TOGETHER = 64 << 20, 20_000, 100
-HELLO, REFUSED, OFFER, READY, YOURS = "hello", "refused", "offer", "ready", "yours"
+HEADER = struct.Struct(">4sIH")
+MARK = b"JLH1"
+MAX_MESSAGE_BYTES = 1 << 12  # of any message but an offer
+MAX_OFFER_BYTES = 64 << 20
+MAX_DESCRIPTORS = 20_000
+DESCRIPTORS_PER_SEND = 100
+# Message types.
+HELLO = "hello"
+REFUSED = "refused"
+OFFER = "offer"
+READY = "ready"
+YOURS = "yours"
 
 
 class Noise(ValueError):
-    """Bytes that no process of ours says."""
+    """Bytes that are not a message of this protocol."""
 
 
-def pack(say, files=0, **more):
-    text = json.dumps({"say": say} | more, separators=(",", ":")).encode()
-    if len(text) > MOST_TEXT or files > MOST_FILES:
-        raise Noise("too much to say")
-    return HEAD.pack(MARK, len(text), files) + text
+def pack(message_type, descriptors=0, **fields):
+    text = json.dumps({"say": message_type} | fields, separators=(",", ":")).encode()
+    if len(text) > MAX_OFFER_BYTES or descriptors > MAX_DESCRIPTORS:
+        raise Noise("message too long, or too many descriptors")
+    return HEADER.pack(MARK, len(text), descriptors) + text
 
 
-def head(data, whole=False):
-    """(length of the text, descriptors) of a head.
+def read_header(data, allow_offer=False):
+    """(length of the text, number of descriptors).
 
-    Threat: who is to say a word sends 64 MB or all its descriptors; only a `whole` offer is large."""
-    mark, length, files = HEAD.unpack(data)
-    if mark != MARK or length > (MOST_TEXT if whole else MOST_WORD) or files > MOST_FILES * whole:
-        raise Noise("no head of ours")
-    return length, files
+    Only an offer may be large or bring descriptors: the other messages come from a process that has not been
+    accepted yet, which could otherwise send 64 MB, or as many descriptors as it has."""
+    mark, length, descriptors = HEADER.unpack(data)
+    if (
+        mark != MARK
+        or length > (MAX_OFFER_BYTES if allow_offer else MAX_MESSAGE_BYTES)
+        or descriptors > MAX_DESCRIPTORS * allow_offer
+    ):
+        raise Noise("invalid message header")
+    return length, descriptors
 
 
-def message(text):
+def read_message(text):
     try:
-        read = json.loads(text)
+        message = json.loads(text)
     except (ValueError, RecursionError):
-        raise Noise("no JSON") from None
-    if not isinstance(read, dict) or not isinstance(read.get("say"), str):
-        raise Noise("says nothing")
-    return read
+        raise Noise("message is not JSON") from None
+    if not isinstance(message, dict) or not isinstance(message.get("say"), str):
+        raise Noise("message has no type")
+    return message
--- a/juniperlanding/handover/steps.py
+++ b/juniperlanding/handover/steps.py
@@ -1,76 +1,94 @@
-"""Who owns the folder while one process replaces another: two state machines without I/O.
+"""Which process owns the state folder during a hand-over: two state machines without I/O.
 
-`Giver` is the process that owns, `Taker` the one that would.  Each event returns the actions to carry out, in
-order.  `YOURS`, said by the giver, is the one word that moves ownership: until it is said the giver owns,
-once it is said it never acts again unless the taker is known to be gone.  Times are nanoseconds."""
+`Sender` is the old process, which owns the folder; `Receiver` is the new one, which is to own it.  Each event
+returns the actions to carry out, in order.  Only the sender's message `YOURS` moves ownership: until it is
+sent the sender owns the folder; once it is sent the sender does nothing unless the receiver is known to be
+gone.  Times are in nanoseconds."""
 
 SEC = 1_000_000_000
-MOST_CALLERS = 4  # at the giver's channel at once
-WRITE_OUT = 0.05  # seconds that a call which is being written still gets when all comes to rest
-FREEZE_WITHIN = SEC // 2  # until what is being answered has been
-LOAD_WITHIN = 5 * SEC // 2  # from the offer until the other has loaded it
-# The taker's whole time.  Threat: the old process hangs and hands nothing over; the platform waits 6 s for a
-# yes and 3.7 s more until it kills the old one, and then the folder is free.
+MAX_CALLERS = 4  # connections to the sender's channel at once
+WRITE_OUT = 0.05  # seconds that a partly written call has to be written out once a freeze begins
+FREEZE_WITHIN = SEC // 2  # time limit for requests that are being answered to be answered
+LOAD_WITHIN = 5 * SEC // 2  # time limit from the offer until the receiver has loaded it
+# Time limit for the receiver's whole attempt.  An old process that hangs hands nothing over; the platform
+# waits 6 s for the new process to report ready and 3.7 s more before it kills the old one.  Then the folder
+# is free.
 JOIN_WITHIN = 12 * SEC
 
-OWNER, FREEZING, OFFERED, REPLACED = "owner", "freezing", "offered", "replaced"
-ASKING, LOADING, READY, WAITING = "asking", "loading", "ready", "waiting"
-FREEZE, OFFER, YOURS, RESUME, START_OVER = "freeze", "offer", "yours", "resume", "start over"
-ASK, LOAD, SAY_READY, BEGIN, RELEASE, WAIT, END = (
-    "ask",
-    "load",
-    "say ready",
-    "begin",
-    "release",
-    "wait",
-    "end",
-)
-
-
-class Giver:
+# States of the sender.
+OWNER = "owner"
+FREEZING = "freezing"
+OFFERED = "offered"
+REPLACED = "replaced"
+# States of the receiver, which ends as `OWNER` too.
+ASKING = "asking"
+LOADING = "loading"
+READY = "ready"
+WAITING = "waiting"
+# Actions of the sender.
+FREEZE = "freeze"
+OFFER = "offer"
+YOURS = "yours"
+RESUME = "resume"
+START_OVER = "start over"
+# Actions of the receiver.
+ASK = "ask"
+LOAD = "load"
+SEND_READY = "say ready"
+BEGIN = "begin"
+RELEASE = "release"
+WAIT = "wait"
+END = "end"
+
+
+class Sender:
     def __init__(self):
-        self.state, self.until = OWNER, 0
+        self.state = OWNER
+        self.deadline = 0
 
     @property
     def owns(self):
         return self.state != REPLACED
 
     def hello(self, now):
-        """Somebody asks; no actions means: refused, another replacement is under way."""
+        """A new process asks for the folder; no actions: it is refused, another replacement is under way."""
         if self.state != OWNER:
             return []
-        self.state, self.until = FREEZING, now + FREEZE_WITHIN
+        self.state = FREEZING
+        self.deadline = now + FREEZE_WITHIN
         return [FREEZE]
 
     def frozen(self, now):
-        """Nothing moves any more.  Threat: the taker left meanwhile, and the offer goes to nobody."""
+        """All activity has stopped.  If the receiver has left meanwhile, no offer is sent."""
         if self.state != FREEZING:
             return []
-        self.state, self.until = OFFERED, now + LOAD_WITHIN
+        self.state = OFFERED
+        self.deadline = now + LOAD_WITHIN
         return [OFFER]
 
     def ready(self):
-        """The taker has loaded the offer."""
+        """The receiver has loaded the offer."""
         if self.state != OFFERED:
             return []
         self.state = REPLACED
         return [YOURS]
 
     def lost(self):
-        """The channel ended or said what cannot be read, the taker's time is up, or `YOURS` could not be
-        said."""
+        """The channel closed or brought an unreadable message, the receiver ran out of time, or `YOURS` could
+        not be sent."""
         before, self.state = self.state, OWNER
         return {FREEZING: [RESUME], OFFERED: [RESUME], REPLACED: [START_OVER]}.get(before, [])
 
-    def unsaid(self):
-        """`YOURS` did not leave: it was never said."""
+    def yours_not_sent(self):
+        """Sending `YOURS` failed and none of it left: ownership has not moved."""
         self.state = OFFERED
         return self.lost()
 
 
-class Taker:
+class Receiver:
     def __init__(self, now):
-        self.state, self.until = ASKING, now + JOIN_WITHIN
+        self.state = ASKING
+        self.deadline = now + JOIN_WITHIN
 
     @property
     def owns(self):
@@ -86,7 +104,7 @@
         if self.state != LOADING:
             return []
         self.state = READY
-        return [SAY_READY]
+        return [SEND_READY]
 
     def yours(self):
         if self.state != READY:
@@ -95,12 +113,14 @@
         return [BEGIN]
 
     def lost(self, now):
-        """The channel ended, or this process could not load; what it was given is let go.
+        """The channel closed, or this process could not load the offer; what it received is released.
 
-        Threat: each offer stops the giver for a moment, and a taker that cannot load would ask for the next
-        at once; so after one it only waits for the folder."""
+        Each offer stops the sender for a moment, and a receiver that cannot load one would ask for the next
+        at once.  So after one offer the receiver only waits for the folder to become free."""
         if self.state == OWNER:
             return []
-        held = self.state in (LOADING, READY)
-        self.state = WAITING if held else self.state
-        return [RELEASE] * held + [END if now >= self.until else ASK if self.state == ASKING else WAIT]
+        had_offer = self.state in (LOADING, READY)
+        self.state = WAITING if had_offer else self.state
+        return [RELEASE] * had_offer + [
+            END if now >= self.deadline else ASK if self.state == ASKING else WAIT
+        ]
--- a/juniperlanding/net/door.py
+++ b/juniperlanding/net/door.py
@@ -1,7 +1,7 @@
-"""The operators' door: one line to a connection, one answer, `ACK` or `NAK` first (docs/door.md).
+"""The admin port: one line per connection, one answer that begins with `ACK` or `NAK` (docs/door.md).
 
-It asks the owner's queue for nothing, so a full queue, a failing disk or a flood of clients holds no answer
-up."""
+It does not use the queue of the decision loop, so a full queue, a failing disk or a flood of clients does not
+delay an answer."""
 
 import trio
 
@@ -10,30 +10,31 @@
 from juniperlanding.net.line import GONE, linger
 from juniperlanding.net.system_errors import AcceptErrors
 
-PLACES = 8  # callers at once
-MOST_LINE = 128  # bytes of a call
-LINE_WITHIN = 4.5  # seconds until a call's line is whole, and its answer read
-FILES = PLACES + 4  # descriptors: the listener, the callers, and some that gave way and are not closed yet
+MAX_CALLERS = 8  # connections at once
+MAX_LINE_BYTES = 128
+CALL_TIMEOUT = 4.5  # seconds for the call's line to arrive and its answer to be read
+# The listener, the callers, and some whose call was cancelled for a newer one and that are not closed yet.
+DESCRIPTORS = MAX_CALLERS + 4
 
 
 class No(Trouble):
-    """A call that is answered with `NAK` and this reason: a state, and no trouble."""
+    """A call answered with `NAK` and this reason, which is a state of the process and not an error."""
 
 
 class NoCall(No):
-    """What came at the door is no call."""
+    """The line received at the admin port is not a valid call."""
 
     code, remedy = "door-call", "Send one of the calls of docs/door.md, as one line of ASCII text."
 
 
 class Door:
-    """`calls` maps a word to a function that gives the lines after `ACK`, or raises `No` or a `Trouble`; so
-    does `asks`, whose functions take the rest of the line."""
+    """`calls` maps a call's word to a function that returns the lines after `ACK`, or raises `No` or another
+    `Trouble`; `asks` does so for calls with an argument, and its functions take the rest of the line."""
 
     def __init__(self, listener, calls, counters, log, asks=()):
         self.listener, self.calls, self.counters, self.log = listener, calls, counters, log
         self.asks = dict(asks)
-        self.unfinished = {}  # callers, longest first
+        self.open_calls = {}  # socket -> cancel scope of its call, the oldest first
 
     async def listen(self, nursery):
         self.listener.listen()
@@ -47,19 +48,21 @@
                     self.log("door", "cannot accept", why=described(error), **system(error).fields)
                 await trio.sleep(errors.pause(error))
                 continue
-            # Threat: callers that never finish their line keep an operator out.
-            if len(self.unfinished) >= PLACES:
-                self.unfinished.pop(next(iter(self.unfinished))).cancel()
-            self.unfinished[sock] = trio.CancelScope(deadline=trio.current_time() + LINE_WITHIN)
-            nursery.start_soon(self.attend, sock, self.unfinished[sock])
+            # Callers that never finish their line must not keep operators out: cancel the oldest call.
+            if len(self.open_calls) >= MAX_CALLERS:
+                self.open_calls.pop(next(iter(self.open_calls))).cancel()
+            self.open_calls[sock] = trio.CancelScope(deadline=trio.current_time() + CALL_TIMEOUT)
+            nursery.start_soon(self.handle_call, sock, self.open_calls[sock])
 
-    async def attend(self, sock, scope):
+    async def handle_call(self, sock, scope):
         try:
             with scope:
                 try:
-                    answer = ["ACK", *self.answer(await self.line(sock))]
-                except Trouble as no:
-                    answer = [" ".join(["NAK", no.what, *map(field, no.fields.items() if no.code else ())])]
+                    answer = ["ACK", *self.answer(await self.read_line(sock))]
+                except Trouble as error:
+                    answer = [
+                        " ".join(["NAK", error.what, *map(field, error.fields.items() if error.code else ())])
+                    ]
                     self.counters["door_refused"] += 1
                 self.counters["door_calls"] += 1
                 data = memoryview("".join(f"{line}\n" for line in answer).encode())
@@ -70,36 +73,36 @@
                 self.counters["door_unfinished"] += 1
         except GONE:
             pass
-        except Exception as error:  # threat: one odd caller must not end the program
+        except Exception as error:  # an unexpected failure in one call must not end the process
             self.log("fault", part="door", why=described(error), at_line=where(error))
         finally:
-            self.unfinished.pop(sock, None)
+            self.open_calls.pop(sock, None)
             sock.close()
 
-    async def line(self, sock):
-        """The first line of a caller, without its end; what ends its sending ends its line too."""
+    async def read_line(self, sock):
+        """The caller's first line without its newline; the end of the connection ends the line too."""
         line = b""
         while b"\n" not in line:
-            if len(line) > MOST_LINE:
-                raise NoCall(f"line longer than {MOST_LINE} bytes")
-            if not (data := await sock.recv(MOST_LINE)):
+            if len(line) > MAX_LINE_BYTES:
+                raise NoCall(f"line longer than {MAX_LINE_BYTES} bytes")
+            if not (data := await sock.recv(MAX_LINE_BYTES)):
                 break
             line += data
         line = line.partition(b"\n")[0].strip()
-        if len(line) > MOST_LINE:
-            raise NoCall(f"line longer than {MOST_LINE} bytes")
+        if len(line) > MAX_LINE_BYTES:
+            raise NoCall(f"line longer than {MAX_LINE_BYTES} bytes")
         return line
 
     def answer(self, line):
         if not line:
             raise NoCall("empty line")
         try:
-            word = line.decode("ascii")
+            call = line.decode("ascii")
         except UnicodeDecodeError:
             raise NoCall("not ASCII text") from None
-        first, _, rest = word.partition(" ")
-        if first in self.asks:
-            return self.asks[first](rest.strip())
-        if word not in self.calls:
+        word, _, argument = call.partition(" ")
+        if word in self.asks:
+            return self.asks[word](argument.strip())
+        if call not in self.calls:
             raise NoCall(f"unknown call, expected one of {' '.join(sorted([*self.calls, *self.asks]))}")
-        return self.calls[word]()
+        return self.calls[call]()
--- a/juniperlanding/net/node.py
+++ b/juniperlanding/net/node.py
@@ -1,4 +1,4 @@
-"""One dispatcher from start to end: puts the parts together, and drains when it is asked to stop."""
+"""One dispatcher from start to end: builds its components, serves, and drains when it is asked to stop."""
 
 from functools import partial
 
@@ -18,50 +18,68 @@
 from juniperlanding.net.owner import Owner
 from juniperlanding.net.succession import Offer, Succession
 
-OTHER_FILES = 20  # descriptors for everything but the connections bounded here: 16 are in use, a few to spare
-LAST_WORDS = 0.1  # seconds at the end in which nothing is taken on and the last answers leave
-LAST_COME, LAST_ANSWERED = 0.03, 0.07  # of these, until nobody is accepted, and until no answer is waited for
-LAST_LOOK = 0.005  # seconds between looks at whether they have
-AGAIN = 0.25  # seconds until a ledger that could not be read is tried again
-REREAD, MOST_REREAD = 0.25, 2.0  # seconds until a configuration that could not be read is tried again
-CLIENT_SIZE = 2 * (protocol.MOST_BODY + protocol.MOST_HEAD)  # the most that a client's connection holds
-
-
-def bounds(told):
-    """How many connections clients and endpoints may have, so that neither limit is reached.
-
-    Threat: calls to silent endpoints keep their connections for long; a client is answered at once."""
-    left = max(12, told.sockets - OTHER_FILES - ROOM - (door.FILES if told.management else 0))
-    return min(left // 3, max(8, told.memory // 4 // CLIENT_SIZE)), left - left // 3
+# Descriptors for everything but the connections limited here: 16 are in use, the others are spare.
+RESERVED_DESCRIPTORS = 20
+LAST_WORDS = 0.1  # seconds at the end in which nothing is accepted any more and the last answers are sent
+LAST_COME = 0.03  # of these, how long connections are still accepted
+LAST_ANSWERED = 0.07  # of these, how long answers are waited for
+LAST_POLL_INTERVAL = 0.005  # seconds between checks for either
+REBUILD_RETRY = 0.25  # seconds until a ledger that could not be read is tried again
+REREAD = 0.25  # seconds until a configuration file that could not be read is tried again, doubled each time
+MAX_REREAD = 2.0  # the longest such pause
+MAX_CLIENT_BYTES = 2 * (protocol.MOST_BODY + protocol.MOST_HEAD)  # the most that a client connection holds
+
+
+def connection_limits(configuration):
+    """(client connections, endpoint connections) that stay within the limits on sockets and on memory.
+
+    Endpoints get two thirds of the sockets: a call to a silent endpoint occupies its connection for long,
+    while a client is answered at once."""
+    available = max(
+        12,
+        configuration.sockets
+        - RESERVED_DESCRIPTORS
+        - ROOM
+        - (door.DESCRIPTORS if configuration.management else 0),
+    )
+    return min(
+        available // 3, max(8, configuration.memory // 4 // MAX_CLIENT_BYTES)
+    ), available - available // 3
 
 
 class Node:
-    """One dispatcher in a world.  Made, it has its address, its folder (OSError if one is not to be had) and
-    its ledger; with an `offer`, it has them from the process before it, and changes nothing yet.
-
-    Threat: a process that cannot listen has still rewritten the ledger; so the address comes first."""
-
-    def __init__(self, told, world, log=None, offer=None):
-        self.config, self.world, self.offer, self.before = told, world, offer, None
-        self.counters = Counters(topic.get("name") for topic in told.settings["topic_types"])
-        self.log = log or logs.to(told.name, world.clock, **told.log)
-        self.rereads, self.reread_after, self.replaced = trio.CancelScope(), REREAD, False
+    """One dispatcher, on the system interfaces in `world`.
+
+    The constructor binds the address, locks the state folder (OSError if either cannot be had) and opens the
+    ledger; with an `offer` it takes all three over from the previous process and changes nothing on disk yet.
+    The address is bound before the ledger is opened, since opening rewrites it: a process that cannot listen
+    must leave it alone."""
+
+    def __init__(self, configuration, world, log=None, offer=None):
+        # `before` is the channel to the process that handed over, held open while this one lives.
+        self.config, self.world, self.offer, self.before = configuration, world, offer, None
+        self.counters = Counters(topic.get("name") for topic in configuration.settings["topic_types"])
+        self.log = log or logs.to(configuration.name, world.clock, **configuration.log)
+        self.reread_scope, self.reread_after, self.replaced = trio.CancelScope(), REREAD, False
         self.listener = self.lock = self.door = None
         self.stops_at = 0
-        self.succession = Succession(told, world, self.log)
+        self.succession = Succession(configuration, world, self.log)
         self.parts = parts.made(self)
         try:
             self.claim(offer)
-            if told.management:
-                bound, asks = world.network.bind(told.management), parts.merged(self.parts, "asks", {})
-                self.door = door.Door(bound, self.calls(), self.counters, self.log, asks)
+            if configuration.management:
+                listener, asks = (
+                    world.network.bind(configuration.management),
+                    parts.merged(self.parts, "asks", {}),
+                )
+                self.door = door.Door(listener, self.calls(), self.counters, self.log, asks)
             self.build(offer)
         except BaseException:
             self.release()
             raise
 
     def claim(self, offer=None):
-        """Folder and address become ours."""
+        """Lock the folder and bind the address, or take both from the offer."""
         if offer:
             self.lock, self.listener = offer.lock, offer.listener
         else:
@@ -73,26 +91,30 @@
                 raise
 
     def build(self, offer=None):
-        """The parts that serve, from what the folder holds."""
-        told, world, common = self.config, self.world, (self.counters, self.log)
+        """Build the components that serve from the contents of the folder."""
+        configuration, world, common = self.config, self.world, (self.counters, self.log)
         if offer:
             offer.resume(world.clock)
-        self.ledger = parts.books(told, world.files, bool(offer), world.clock)
-        self.owner = owner = Owner(told, world.clock, self.ledger, *common)
-        most_clients, self.most_calls = bounds(told)
-        ended = partial(owner.tell, owner.finished)
-        owner.endpoints = Endpoints(told, world, self.most_calls, ended, *common, owner.may_leave)
-        owner.notices = Notices(world.network, told.discovery, partial(owner.tell, owner.end), *common)
-        owner.discovery = Discovery(told, world.network, partial(owner.tell, owner.listed), self.log)
-        self.clients = owner.clients = Clients(told, world.clock, most_clients, owner, *common)
-        handed = offer.state.get("parts", {}) if offer else {}
+        self.ledger = parts.books(configuration, world.files, bool(offer), world.clock)
+        self.owner = owner = Owner(configuration, world.clock, self.ledger, *common)
+        max_clients, self.most_calls = connection_limits(configuration)
+        call_ended = partial(owner.tell, owner.finished)
+        owner.endpoints = Endpoints(
+            configuration, world, self.most_calls, call_ended, *common, owner.may_leave
+        )
+        owner.notices = Notices(
+            world.network, configuration.discovery, partial(owner.tell, owner.end), *common
+        )
+        owner.discovery = Discovery(configuration, world.network, partial(owner.tell, owner.listed), self.log)
+        self.clients = owner.clients = Clients(configuration, world.clock, max_clients, owner, *common)
+        part_states = offer.state.get("parts", {}) if offer else {}
         for part in self.parts:
-            if part.section in handed:
-                part.taken(handed[part.section])
+            if part.section in part_states:
+                part.taken(part_states[part.section])
             part.built(self)
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED):
-        """Serve until cancelled; while another process has taken over, stand by."""
+        """Serve until cancelled; stand by for as long as another process has taken over."""
         try:
             async with trio.open_nursery() as self.nursery:
                 if self.door:
@@ -110,16 +132,20 @@
             self.release()
 
     async def serve(self, task_status):
-        """Own the folder until another process asks for it; all that this process is then."""
-        told, owner, listener = self.config, self.owner, self.listener
+        """Serve as the owner of the folder until another process asks for it; returns the offer to hand
+        over."""
+        configuration, owner, listener = self.config, self.owner, self.listener
         listener.listen()
-        known = protocol.entries(told.known.get("members", []), told.kinds, told.zones)
+        known = protocol.entries(
+            configuration.known.get("members", []), configuration.kinds, configuration.zones
+        )
         await owner.tell(owner.begin, known, self.offer)
         self.offer = None
-        if self.stops_at:  # threat: asked to stop while a hand-over came to nothing
+        if self.stops_at:  # SIGTERM came during a hand-over that then failed
             await owner.tell(owner.at.stopping, self.stops_at)
-        if told.settings.get("list_mode") != "ask":
-            # Threat: it asks before the first round has told it what the process before us had heard.
+        if configuration.settings.get("list_mode") != "ask":
+            # By way of the queue: discovery must not ask before the first iteration of the decision loop has
+            # given it the revision that the previous process had.
             await owner.tell(owner.discovery.subscribe, True)
         self.succession.open(self.nursery, self.freeze)
         self.log(
@@ -143,27 +169,28 @@
                 nursery.start_soon(part.run)
             task_status.started(listener.address)
             await owner.run(nursery)
-            made = Offer.made(self)
+            offer = Offer.from_node(self)
             nursery.cancel_scope.cancel()
-        return made
+        return offer
 
     async def freeze(self, within):
-        if not self.clients.closing:  # threat: the process ends before it has handed anything over
+        if not self.clients.closing:  # a process about to end could not complete the hand-over
             await self.owner.tell(self.owner.freeze, within)
 
     async def stand_by(self):
-        """Threat: the process that took over ends early; what it took on is in the folder."""
+        """Wait for the process that took over to end, then serve again: if it ends early, what it accepted is
+        in the folder and still has to be delivered."""
         self.replaced, self.lock, self.listener = True, None, None
-        await self.succession.gone()
-        said = None
+        await self.succession.wait_for_successor_exit()
+        logged = None
         while True:
             try:
                 self.claim()
                 break
-            except OSError as error:  # a third process has it, or still has the address
-                if said != (said := described(error)):
+            except OSError as error:  # a third process has the folder, or still has the address
+                if logged != (logged := described(error)):
                     self.log(
-                        "upgrade", "the folder stays with another process", why=said, **system(error).fields
+                        "upgrade", "the folder stays with another process", why=logged, **system(error).fields
                     )
                 await trio.sleep(1)
         self.log("upgrade", "the process that took over is gone, serving again")
@@ -171,25 +198,28 @@
         self.replaced = False
 
     async def rebuild(self, offer):
-        """Threat: the disk fails just as this process is the owner again; it is until it can be read."""
-        said = None
+        """Build the components again.
+
+        The disk may fail just as this process becomes the owner again; it stays the owner and retries until
+        the ledger can be read."""
+        logged = None
         while True:
             try:
                 return self.build(offer)
             except OSError as error:
-                if said != (said := described(error)):
-                    self.log("ledger", "cannot be read", why=said, **system(error).fields)
-                await trio.sleep(AGAIN)
+                if logged != (logged := described(error)):
+                    self.log("ledger", "cannot be read", why=logged, **system(error).fields)
+                await trio.sleep(REBUILD_RETRY)
 
     def calls(self):
-        """What operators may ask at the door."""
-        return parts.merged(self.parts, "calls", {"READY": self.takes_clients, "STATS": self.figures})
+        """The admin port's calls without an argument: word -> function."""
+        return parts.merged(self.parts, "calls", {"READY": self.check_ready, "STATS": self.figures})
 
     def load(self):
-        """What others are told of this process: (owed, outstanding)."""
+        """The load that is reported to other dispatchers: (pending notifications, pushes in flight)."""
         return len(self.ledger.owed), self.owner.at.me.slots_out
 
-    def takes_clients(self):
+    def check_ready(self):
         if self.replaced:
             raise door.No("replaced")
         if not self.owner.ready or self.clients.draining:
@@ -203,33 +233,33 @@
         return [*self.counters.figures(**parts.merged(self.parts, "gauges", self.owner.gauges())), "--"]
 
     def release(self):
-        """Address and folder are anybody's again."""
-        for held in (self.listener, self.lock, self.door and self.door.listener, self.succession.harbour):
+        """Release address and folder for other processes."""
+        for held in (self.listener, self.lock, self.door and self.door.listener, self.succession.listener):
             if held:
                 held.close()
 
     def let_go(self):
-        """Give up what was offered: it stays with the process before us."""
+        """Close what was made from the offer: ownership stays with the previous process."""
         self.offer.close()
         self.ledger.close()
         if self.door:
             self.door.listener.close()
 
-    def reload(self, read, said=None):
-        """Move to the address that the replaced file names; what else it may change waits for a restart.
+    def reload(self, read, logged=None):
+        """Move to the discovery address in the replaced file; other changes in it wait for a restart.
 
-        `read` gives the configuration anew; `said`: what was logged of the try before.  Threat: the file is
-        half written, or the disk fails for a moment, and the platform has moved for good; so it is tried
-        again, with one line for as long as the same is wrong."""
-        self.rereads.cancel()
+        `read` returns the new configuration; `logged` is the error logged by the previous attempt.  The file
+        may be half written, or the disk may fail for a moment, although the platform has moved for good.  So
+        a failed read is tried again, with one log line for as long as the error stays the same."""
+        self.reread_scope.cancel()
         try:
             discovery = read().discovery
-        except Exception as error:  # threat: a file half written or wrong must not end the program
-            self.rereads = trio.CancelScope()
-            if said != (why := described(error)):
+        except Exception as error:  # a half-written or invalid file must not end the process
+            self.reread_scope = trio.CancelScope()
+            if logged != (why := described(error)):
                 then = "tried again soon" if isinstance(error, OSError) else "the old one stays in force"
                 self.log("config", f"cannot be read, {then}", why=why, **config.trouble(error).fields)
-            return self.nursery.start_soon(self.reread, read, why, self.rereads)
+            return self.nursery.start_soon(self.reread, read, why, self.reread_scope)
         self.log("config", "read again", discovery="{}:{}".format(*discovery))
         if discovery != self.config.discovery:
             self.config.discovery = discovery
@@ -239,36 +269,38 @@
         for part in self.parts:
             part.reload()
 
-    async def reread(self, read, said, scope):
-        """Try a failed reload again: soon, then less and less often."""
+    async def reread(self, read, logged, scope):
+        """Retry a failed reload, with growing pauses."""
         with scope:
             await trio.sleep(self.reread_after)
-            self.reread_after = min(2 * self.reread_after, MOST_REREAD)
+            self.reread_after = min(2 * self.reread_after, MAX_REREAD)
         if not scope.cancelled_caught:
-            self.reload(read, said)
+            self.reload(read, logged)
 
     def enter(self, phase):
-        """Tell the parts; those of a process that was replaced say nothing any more."""
+        """Tell the parts of a new phase, unless this process was replaced: its parts report nothing any
+        more."""
         for part in [] if self.replaced else self.parts:
             part.enter(phase)
 
     async def drain(self):
-        """Serve on for as long as the platform lets us; what is taken on meanwhile stays in the ledger.
+        """Keep serving for as long as the platform allows; what is still pending at the end stays in the
+        ledger.
 
-        Clients are sent away once only their own patience is left, so that each still gets its answer.  It
-        ends earlier when nobody comes and nothing is owed."""
-        begun = trio.current_time()
+        Clients are sent away once no more time is left than a client waits for its answer, so that each still
+        gets it.  Ends early when no client is connected and nothing is pending."""
+        began = trio.current_time()
         self.enter("draining")
         self.log("stop", "draining", held=len(self.owner.held))
-        until = protocol.KILL_AFTER - protocol.PATIENCE / 4
-        with trio.move_on_after(until - LAST_WORDS):
+        time_limit = protocol.KILL_AFTER - protocol.PATIENCE / 4
+        with trio.move_on_after(time_limit - LAST_WORDS):
             if not self.replaced:
-                self.stops_at = self.world.clock.now() + int(until * SEC)
+                self.stops_at = self.world.clock.now() + int(time_limit * SEC)
                 await self.owner.tell(self.owner.at.stopping, self.stops_at)
             while not self.replaced and (
-                self.clients.open or self.ledger.owed or trio.current_time() < begun + protocol.PATIENCE
+                self.clients.open or self.ledger.owed or trio.current_time() < began + protocol.PATIENCE
             ):
-                if trio.current_time() > begun + protocol.KILL_AFTER - protocol.PATIENCE:
+                if trio.current_time() > began + protocol.KILL_AFTER - protocol.PATIENCE:
                     self.clients.drain()
                 await trio.sleep(0.02)
         self.clients.refuse()
@@ -276,35 +308,39 @@
             await self.last_words()
 
     async def last_words(self):
-        """The last answers, and then the last round.
+        """Send the last answers, then run the last iteration of the decision loop.
 
-        Threats: what ended just now is told, but not written down; one client that says nothing, or reads
-        nothing, is waited for until we are cut off."""
+        That iteration writes down the outcomes that have just been reported.  The wait for the answers is
+        limited: a client that sends nothing, or reads nothing, would otherwise be waited for until the
+        process is killed."""
         with trio.move_on_after(LAST_ANSWERED):
-            await self.last_answers()
+            await self.send_last_answers()
         if self.replaced or self.owner.frozen:
             return
-        await self.clients.close(self.listener)  # threat: on a loaded machine it had no time for that above
+        await self.clients.close(self.listener)  # on a loaded machine the call above may not have got to it
         await self.owner.tell(self.owner.park)
         await self.owner.parked.wait()
         await self.owner.endpoints.withdraw()
 
-    async def last_answers(self):
-        """Threats: a connection stands in the backlog and is reset with its request; they come without end; a
-        yes is in the ledger, and its client's connection ends unanswered."""
-        came, closes_at = -1, trio.current_time() + LAST_COME
-        while came != self.clients.came and trio.current_time() < closes_at:
-            came = self.clients.came
-            await trio.sleep(LAST_LOOK)
+    async def send_last_answers(self):
+        """Accept what waits in the backlog, close the listener, and wait until every client has its answer.
+
+        A connection left in the backlog would be reset with its request, but connections may come without
+        end: so accepting has a time limit.  A client whose notification is in the ledger must get its answer
+        before its connection ends."""
+        accepted, closes_at = -1, trio.current_time() + LAST_COME
+        while accepted != self.clients.came and trio.current_time() < closes_at:
+            accepted = self.clients.came
+            await trio.sleep(LAST_POLL_INTERVAL)
         if self.replaced or self.owner.frozen:
             return
         await self.clients.close(self.listener)
         while self.clients.busy() or self.clients.waiting:
             self.clients.drain()
-            await trio.sleep(LAST_LOOK)
+            await trio.sleep(LAST_POLL_INTERVAL)
 
     def close(self):
-        """The end; whether all that is owed could be written down."""
+        """End; whether every ledger record could be written."""
         self.enter("leaving")
         if not self.replaced and not self.owner.frozen:
             self.clients.count_unanswered()
--- a/juniperlanding/net/succession.py
+++ b/juniperlanding/net/succession.py
@@ -1,6 +1,6 @@
-"""One process of a dispatcher takes over from another, sockets and all (docs/upgrade.md).
+"""Hand-over of a dispatcher from one process to another, sockets included (docs/upgrade.md).
 
-`handover.steps` decides who owns; here its actions are carried out."""
+`handover.steps` decides which process owns the state folder; this module carries out its actions."""
 
 import json
 from base64 import b64decode, b64encode
@@ -20,251 +20,278 @@
 from juniperlanding.net.endpoints import Call, Send
 from juniperlanding.net.line import Line
 
-HELLO_WITHIN = 1.0  # seconds until who called has said what it wants
-AGAIN = 0.05  # seconds until the folder is tried again
-FORM, PARTS = 1, ("clients", "calls", "idle")  # of an offer; each part's sockets follow in this order
+HELLO_TIMEOUT = 1.0  # seconds that a caller has to send its first message
+RETRY_INTERVAL = 0.05  # seconds between attempts to get the folder
+FORM = 1  # version of the offer's format
+SOCKET_GROUPS = ("clients", "calls", "idle")  # keys of the offer's state; their sockets follow in this order
 
 
 class Refusal(Trouble, OSError):
-    """The process that has the folder says why it keeps it."""
+    """The process that holds the state folder refuses to hand it over, and says why."""
 
     code = "hand-over-refused"
-    remedy = "Start a replacement alone, with the same `listen`; start another dispatcher on another folder."
+    remedy = (
+        "Start one replacement at a time, with the same `listen`; give another dispatcher its own folder."
+    )
 
 
 class OtherForm(Refusal):
-    """The process that has the folder hands over in a form that this version does not know."""
+    """The process that holds the state folder hands over in a format that this version cannot read."""
 
     code, remedy = "hand-over-form", "End the old process by SIGTERM, then start this one."
 
 
 class NotTaken(Trouble):
-    """Another process asked for the folder and ended or fell silent before it had it; this one serves on."""
+    """Another process asked for the state folder but ended or stopped answering before it took over; this
+    process continues to serve."""
 
     code = "hand-over-failed"
-    remedy = "Look at the last lines of the process that was to take over; this one needs nothing."
+    remedy = "Look at the last log lines of the process that was to take over; this one needs no action."
 
 
-def digest(settings):
+def settings_checksum(settings):
     return crc32(json.dumps(settings, sort_keys=True).encode())
 
 
 class Offer:
-    """All that one process is: `state` as plain JSON, and the sockets that go with it, in its order."""
+    """Everything that a process hands over: `state` as plain JSON, and the sockets that belong to it, in its
+    order."""
 
-    def __init__(self, state, lock, listener, socks):
-        self.state, self.lock, self.listener, self.socks = state, lock, listener, socks
+    def __init__(self, state, lock, listener, sockets):
+        self.state, self.lock, self.listener, self.sockets = state, lock, listener, sockets
         first, second = len(state["clients"]), len(state["clients"]) + len(state["calls"])
-        self.parts = socks[:first], socks[first:second], socks[second:]
+        self.groups = sockets[:first], sockets[first:second], sockets[second:]
 
     @classmethod
-    def made(cls, node):
-        """What `node` is, once its owner has come to rest.
+    def from_node(cls, node):
+        """The offer of a node whose decision loop has stopped.
 
-        Threat: one odd record ends the process with all that it owes; then clients go over, and the module
-        begins from the ledger."""
+        If a record of the decision module cannot be exported, the process must not end with all that is
+        pending: then the client connections are handed over all the same, and the decision module of the new
+        process starts from the ledger."""
         try:
-            return cls.whole(node, carry.taken_from(node.owner.at.me, node.owner.terms))
+            return cls.collect(node, carry.taken_from(node.owner.at.me, node.owner.terms))
         except Exception as error:
             node.log("fault", part="upgrade", why=described(error), at_line=where(error))
-            return cls.whole(node, None)
+            return cls.collect(node, None)
 
     @classmethod
-    def whole(cls, node, module):
+    def collect(cls, node, module_state):
         owner, now = node.owner, trio.current_time()
-        idle = [(e, line) for e, lines in owner.endpoints.idle.items() for line in lines if line.quiet()]
+        idle = [
+            (endpoint, line)
+            for endpoint, lines in owner.endpoints.idle.items()
+            for line in lines
+            if line.quiet()
+        ]
         calls, clients = owner.endpoints.carried, node.clients.carried
         state = {
             "form": FORM,
             "clock": astuple(stamp) if (stamp := node.world.clock.stamp()) else None,
-            "version": module and carry.VERSION,
-            "settings": digest(node.config.settings),
-            "module": module,
+            "version": module_state and carry.VERSION,
+            "settings": settings_checksum(node.config.settings),
+            "module": module_state,
             "entries": [[*entry, *owner.endpoints.book[number]] for number, entry in owner.entries.items()],
-            # Threat: the whole list is still to come, and a number of an earlier address stands for it.
+            # No revision while the full endpoint list has yet to arrive: the number is of the previous
+            # discovery address.
             "revision": None if owner.discovery.whole else owner.discovery.revision,
             "discovery": owner.discovery.address,
             "following": owner.discovery.on,
             "clients": [
-                [text(line), line.until - now if line.until < float("inf") else None] for line in clients
+                [unread_bytes(line), line.until - now if line.until < float("inf") else None]
+                for line in clients
             ],
             "calls": [
                 [
                     call.endpoint,
                     call.began_at,
-                    text(call.line),
+                    unread_bytes(call.line),
                     call.line.used_at,
                     [
-                        [s.id, s.number, s.until, s.ttl_at, s.leave_by, s.over, s.cancelled]
-                        for s in call.sends
+                        [
+                            send.id,
+                            send.number,
+                            send.until,
+                            send.ttl_at,
+                            send.leave_by,
+                            send.over,
+                            send.cancelled,
+                        ]
+                        for send in call.sends
                     ],
                 ]
                 for call in calls
             ],
             "idle": [[endpoint, line.used_at] for endpoint, line in idle],
         }
-        if parts := {part.section: said for part in node.parts if (said := part.given()) is not None}:
+        if parts := {part.section: given for part in node.parts if (given := part.given()) is not None}:
             state["parts"] = parts
         lines = [*clients, *(call.line for call in calls), *(line for _, line in idle)]
-        socks = [line.sock for line in lines]
-        return cls(json.loads(json.dumps(state)), node.lock, node.listener, socks)
+        sockets = [line.sock for line in lines]
+        return cls(json.loads(json.dumps(state)), node.lock, node.listener, sockets)
 
     @classmethod
-    def read(cls, world, heard, files):
-        """An offer as it came over a channel; `OtherForm` for one of which nothing is kept."""
+    def from_message(cls, world, message, descriptors):
+        """The offer in a received message; `OtherForm`, with all descriptors closed, if it cannot be read."""
         try:
-            state = heard["state"]
-            if state["form"] != FORM or len(files) != 2 + sum(len(state[part]) for part in PARTS):
-                raise ValueError("unknown")
-            lock, listener, *socks = files
+            state = message["state"]
+            if state["form"] != FORM or len(descriptors) != 2 + sum(
+                len(state[group]) for group in SOCKET_GROUPS
+            ):
+                raise ValueError("unknown format")
+            lock, listener, *sockets = descriptors
             return cls(
                 state,
                 world.files.inherit_lock(lock),
                 world.network.inherit(listener, listening=True),
-                [world.network.inherit(file) for file in socks],
+                [world.network.inherit(descriptor) for descriptor in sockets],
             )
         except (ValueError, TypeError, KeyError, OSError) as error:
-            world.network.drop(files)
-            raise OtherForm(0, f"hands over in another form ({described(error)})", None) from None
+            world.network.drop(descriptors)
+            raise OtherForm(
+                0, f"the running process hands over in another format ({described(error)})", None
+            ) from None
 
     def resume(self, clock):
-        """Go on with the clock that all times of the offer are of; an earlier version tells none."""
-        if told := self.state.get("clock"):
-            clock.resume(ClockStamp(*told))
+        """Continue the clock that the offer's times refer to; an older version sends none."""
+        if stamp := self.state.get("clock"):
+            clock.resume(ClockStamp(*stamp))
 
-    def files(self):
-        return [self.lock.file, self.listener.raw.fileno(), *(sock.raw.fileno() for sock in self.socks)]
+    def descriptors(self):
+        return [self.lock.file, self.listener.raw.fileno(), *(sock.raw.fileno() for sock in self.sockets)]
 
     def fits(self, settings):
-        """`carry.Unknown` unless the module that goes on is of the same form and told the same."""
+        """Raises `carry.Unknown` unless the decision module's records have this version's layout and were
+        made under the same settings."""
         if self.state["version"] != carry.VERSION:
             raise carry.Unknown("another version")
-        if self.state["settings"] != digest(settings):
+        if self.state["settings"] != settings_checksum(settings):
             raise carry.Unknown("other settings")
 
     def clients(self):
-        """(line, seconds left for its request) of each."""
-        for sock, (early, left) in zip(self.parts[0], self.state["clients"], strict=True):
-            yield Line(sock, h11.SERVER, b64decode(early)), float("inf") if left is None else max(left, 0)
+        """(line, seconds left for its request) of each client connection."""
+        for sock, (unread, left) in zip(self.groups[0], self.state["clients"], strict=True):
+            yield Line(sock, h11.SERVER, b64decode(unread)), float("inf") if left is None else max(left, 0)
 
     def calls(self):
-        """(call, line) of each that is written whole."""
-        for sock, (endpoint, began_at, early, used_at, sends) in zip(
-            self.parts[1], self.state["calls"], strict=True
+        """(call, line) of each call whose request has been written out."""
+        for sock, (endpoint, began_at, unread, used_at, sends) in zip(
+            self.groups[1], self.state["calls"], strict=True
         ):
             call = Call(
                 endpoint,
                 [
-                    Send(i, n, "", b"", *times, over=over, cancelled=cancelled)
-                    for i, n, *times, over, cancelled in sends
+                    Send(id_, number, "", b"", *times, over=over, cancelled=cancelled)
+                    for id_, number, *times, over, cancelled in sends
                 ],
                 began_at,
             )
-            line = Line(sock, h11.CLIENT, b64decode(early))
+            line = Line(sock, h11.CLIENT, b64decode(unread))
             line.used_at = used_at
             line.http.send(h11.Request(method="POST", target="/", headers=[("Host", "endpoint")]))
-            line.http.send(h11.EndOfMessage())  # the request has left; its answer is what comes next
+            line.http.send(h11.EndOfMessage())  # the old process sent the request; next comes its response
             yield call, line
 
     def idle(self):
-        """(endpoint, line) of each."""
-        for sock, (endpoint, used_at) in zip(self.parts[2], self.state["idle"], strict=True):
+        """(endpoint, line) of each idle connection to an endpoint."""
+        for sock, (endpoint, used_at) in zip(self.groups[2], self.state["idle"], strict=True):
             line = Line(sock, h11.CLIENT)
             line.used_at = used_at
             yield endpoint, line
 
     def drop_calls(self):
-        for sock in self.parts[1] + self.parts[2]:
+        for sock in self.groups[1] + self.groups[2]:
             sock.close()
 
     def close(self):
-        """Let go of our copies; what another process holds goes on there."""
-        for one in (*self.socks, self.listener, self.lock):
-            one.close()
+        """Close this process's copies; the copies of another process stay open."""
+        for resource in (*self.sockets, self.listener, self.lock):
+            resource.close()
 
 
-def text(line):
-    """What came of the present message.
+def unread_bytes(line):
+    """All bytes received of the current message, as base64.
 
-    Threat: frozen before it looked at what the process before it had read."""
+    `line.early` holds what the previous process received: if the line is frozen before it is read again,
+    those bytes are still there."""
     return b64encode(b"".join([*line.raw, line.early])).decode()
 
 
 class Succession:
-    """The owning process's side."""
+    """The owning process's side of a hand-over."""
 
     def __init__(self, config, world, log):
-        self.config, self.world, self.log, self.giver = config, world, log, steps.Giver()
-        self.channel, self.harbour, self.callers = None, None, 0
+        self.config, self.world, self.log, self.sender = config, world, log, steps.Sender()
+        self.channel, self.listener, self.callers = None, None, 0
 
     def open(self, nursery, freeze):
-        """Wait for who would take over; `await freeze(seconds)` once, for the first that may.
+        """Listen for a new process; calls `await freeze(seconds)` once, for the first one that is accepted.
 
-        Threat: some platforms have no such sockets; then a process is replaced by a restart alone."""
-        if self.harbour:
+        Some platforms have no such sockets; there a process can only be replaced by a restart."""
+        if self.listener:
             return
         try:
-            self.harbour = self.world.network.harbour(self.config.state)
+            self.listener = self.world.network.harbour(self.config.state)
         except OSError as error:
             return self.log("upgrade", "nobody can take over here", why=described(error))
         nursery.start_soon(self.listen, nursery, freeze)
 
     async def listen(self, nursery, freeze):
-        with trio.CancelScope() as self.listening:
+        with trio.CancelScope() as self.listen_scope:
             while True:
                 try:
-                    channel = await self.harbour.accept()
+                    channel = await self.listener.accept()
                 except OSError as error:
                     self.log("upgrade", "cannot accept", why=described(error))
-                    await trio.sleep(AGAIN)
+                    await trio.sleep(RETRY_INTERVAL)
                     continue
-                if self.callers >= steps.MOST_CALLERS:
+                if self.callers >= steps.MAX_CALLERS:
                     channel.close()
                     continue
                 self.callers += 1
-                nursery.start_soon(self.attend, channel, freeze)
+                nursery.start_soon(self.handle_caller, channel, freeze)
 
-    async def attend(self, channel, freeze):
+    async def handle_caller(self, channel, freeze):
         try:
-            with trio.move_on_after(HELLO_WITHIN):
-                heard = await channel.hear() if channel.mine() else None
-                if heard and heard[0]["say"] == frames.HELLO:
+            with trio.move_on_after(HELLO_TIMEOUT):
+                received = await channel.receive() if channel.is_same_user() else None
+                if received and received[0]["say"] == frames.HELLO:
                     listen = "{}:{}".format(*self.config.listen)
-                    if heard[0].get("listen") != listen:
+                    if received[0].get("listen") != listen:
                         why = f"it listens at {listen}"
-                    elif self.giver.hello(self.world.clock.steady()):
+                    elif self.sender.hello(self.world.clock.steady()):
                         self.channel = channel
                         self.log("upgrade", "another process takes over", pid=channel.peer()[0])
                     else:
                         why = "another replacement is under way"
                     if self.channel is not channel:
-                        await channel.say(frames.REFUSED, why=why)
+                        await channel.send(frames.REFUSED, why=why)
             if self.channel is channel:
                 await freeze(steps.FREEZE_WITHIN / SEC)
-        except (frames.Noise, OSError) as error:  # threat: a stranger, or noise
-            self.log("upgrade", "a caller was not understood", why=described(error))
+        except (frames.Noise, OSError) as error:  # the caller closed, or is not a dispatcher
+            self.log("upgrade", "cannot read from a caller", why=described(error))
         finally:
             self.callers -= 1
             if self.channel is not channel:
                 channel.close()
 
     async def give(self, offer):
-        """Whether the other process owns everything now; else we go on with the offer ourselves."""
-        self.giver.frozen(self.world.clock.steady())
+        """Whether the new process owns everything now; otherwise this one continues with the offer itself."""
+        self.sender.frozen(self.world.clock.steady())
         try:
-            with trio.move_on_after((self.giver.until - self.world.clock.steady()) / SEC):
-                await self.channel.say(frames.OFFER, offer.files(), state=offer.state)
-                heard = await self.channel.hear()
-                if heard and heard[0]["say"] == frames.READY and self.giver.ready():
+            with trio.move_on_after((self.sender.deadline - self.world.clock.steady()) / SEC):
+                await self.channel.send(frames.OFFER, offer.descriptors(), state=offer.state)
+                received = await self.channel.receive()
+                if received and received[0]["say"] == frames.READY and self.sender.ready():
                     try:
-                        self.channel.say_now(frames.YOURS)
+                        self.channel.send_nowait(frames.YOURS)
                     except OSError:
-                        self.giver.unsaid()
+                        self.sender.yours_not_sent()
                         raise
         except (frames.Noise, OSError) as error:
-            self.log("upgrade", "the other process was lost", why=described(error))
-        if self.giver.owns:
-            self.giver.lost()
+            self.log("upgrade", "lost the connection to the new process", why=described(error))
+        if self.sender.owns:
+            self.sender.lost()
             self.channel.close()
             self.channel = None
             self.log("upgrade", "nobody took over, serving on", **NotTaken().fields)
@@ -273,91 +300,93 @@
             "upgrade",
             "replaced",
             by=self.channel.peer()[0],
-            clients=len(offer.parts[0]),
-            calls=len(offer.parts[1]),
-            idle=len(offer.parts[2]),
+            clients=len(offer.groups[0]),
+            calls=len(offer.groups[1]),
+            idle=len(offer.groups[2]),
         )
-        self.close_harbour()
+        self.close_listener()
         offer.close()
         return True
 
-    async def gone(self):
+    async def wait_for_successor_exit(self):
         """Returns once the process that took over has ended."""
         try:
-            while await self.channel.hear():
+            while await self.channel.receive():
                 pass
         except (frames.Noise, OSError):
             pass
         self.channel.close()
         self.channel = None
-        self.giver.lost()
+        self.sender.lost()
 
-    def close_harbour(self):
-        if self.harbour:
-            self.listening.cancel()
-            self.harbour.close()
-            self.harbour = None
+    def close_listener(self):
+        if self.listener:
+            self.listen_scope.cancel()
+            self.listener.close()
+            self.listener = None
 
 
-async def begin(make, told, world):
-    """The node of a process that owns its folder: at once, or from the process that has it now.
+async def begin(make, config, world):
+    """The node of a process that owns its folder: at once, or taken over from the process that holds it.
 
-    `make(offer)` builds it.  Raises OSError when the folder is kept from us, by words or by silence."""
-    taker = steps.Taker(world.clock.steady())
+    `make(offer)` builds the node.  Raises OSError when that process refuses or does not answer in time."""
+    receiver = steps.Receiver(world.clock.steady())
     while True:
         try:
             return make(None)
         except Taken as taken:
             refused = taken
         try:
-            if node := await take(make, told, world, taker):
+            if node := await take_over(make, config, world, receiver):
                 return node
         except (frames.Noise, OSError) as error:
             if isinstance(error, Trouble):
                 raise
-        if steps.END in taker.lost(world.clock.steady()):
+        if steps.END in receiver.lost(world.clock.steady()):
             raise refused
-        await trio.sleep(AGAIN)
+        await trio.sleep(RETRY_INTERVAL)
 
 
-async def take(make, told, world, taker):
-    """Ask the process that has the folder; None when it did not hand it over.
+async def take_over(make, config, world, receiver):
+    """Ask the process that holds the folder to hand it over; None when it did not.
 
-    Raises a `Trouble` for what will not change; what this process lacks itself is found out before it
-    asks."""
-    if taker.state != steps.ASKING:
+    Raises a `Trouble` for what a retry cannot change.  That the admin port's address can be bound is checked
+    first: asking stops the old process for a moment."""
+    if receiver.state != steps.ASKING:
         return None
     try:
-        if told.management:
-            world.network.bind(told.management).close()
+        if config.management:
+            world.network.bind(config.management).close()
     except OSError as error:
         raise system(error) from None
-    channel, node = world.network.call(told.state), None
+    channel, node = world.network.call(config.state), None
     try:
-        with trio.move_on_after((taker.until - world.clock.steady()) / SEC):
-            await channel.say(frames.HELLO, listen="{}:{}".format(*told.listen))
-            heard = await channel.hear(whole=True)
-            if heard and heard[0]["say"] == frames.REFUSED:
-                raise Refusal(0, str(heard[0].get("why")), told.state)
-            if heard and heard[0]["say"] == frames.OFFER and taker.offered():
-                node = loaded(make, Offer.read(world, *heard))
-                taker.loaded()
-                await channel.say(frames.READY)
-                heard = await channel.hear()
-                if heard and heard[0]["say"] == frames.YOURS and taker.yours():
+        with trio.move_on_after((receiver.deadline - world.clock.steady()) / SEC):
+            await channel.send(frames.HELLO, listen="{}:{}".format(*config.listen))
+            received = await channel.receive(allow_offer=True)
+            if received and received[0]["say"] == frames.REFUSED:
+                raise Refusal(0, str(received[0].get("why")), config.state)
+            if received and received[0]["say"] == frames.OFFER and receiver.offered():
+                node = load_offer(make, Offer.from_message(world, *received))
+                receiver.loaded()
+                await channel.send(frames.READY)
+                received = await channel.receive()
+                if received and received[0]["say"] == frames.YOURS and receiver.yours():
                     node.lock.name()
-                    node.before, channel = channel, None  # kept open: its end tells that we are gone
+                    # The channel stays open: the old process takes its end as the end of this process.
+                    node.before, channel = channel, None
                     return node
     finally:
         if channel:
             channel.close()
-        if node and not taker.owns:
+        if node and not receiver.owns:
             node.let_go()
     return None
 
 
-def loaded(make, offer):
-    """The node made of an offer; if none can be, nothing of it is kept, and asking again is no use."""
+def load_offer(make, offer):
+    """The node made from an offer.  If that fails the offer is closed, and an OSError is raised as a
+    `Trouble`, since asking again would not help."""
     try:
         return make(offer)
     except OSError as error:
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -1,4 +1,4 @@
-"""The operators' door and its figures, on loopback: callers of every temper, and counts against the truth."""
+"""The admin port on loopback: valid, invalid and stalling calls, and its counters against what happened."""
 
 import pytest
 import trio
@@ -15,7 +15,7 @@
 
 
 async def call(site, line=b"STATS\n"):
-    """All that the door answers to one call."""
+    """The lines that the admin port answers to one call."""
     stream = await trio.open_tcp_stream(*site.node.door.listener.address)
     async with stream:
         await stream.send_all(line)
@@ -24,11 +24,12 @@
         return b"".join([part async for part in stream]).decode().splitlines()
 
 
-async def figures(site):
+async def statistics(site):
+    """Name -> (value, kind) of each line of `STATS`; kind is "c" for a counter, "g" for a gauge."""
     first, *lines, last = await call(site)
     assert (first, last) == ("ACK", "--")
-    parts = [line.replace("|", ":").split(":") for line in lines]
-    return {name.removeprefix("svc."): (int(value), kind) for name, value, kind in parts}
+    fields = [line.replace("|", ":").split(":") for line in lines]
+    return {name.removeprefix("svc."): (int(value), kind) for name, value, kind in fields}
 
 
 @pytest.mark.parametrize(
@@ -51,9 +52,9 @@
     async def scene(site):
         node = await site.start()
         await site.until(lambda: node.owner.ready)
-        told = await call(site, line)
-        assert len(told) == 1 and told[0].startswith(answer)
-        await site.until(lambda: not node.door.unfinished)
+        lines = await call(site, line)
+        assert len(lines) == 1 and lines[0].startswith(answer)
+        await site.until(lambda: not node.door.open_calls)
 
     site.run(scene)
 
@@ -75,26 +76,26 @@
     async def scene(site):
         await site.start()
         address = site.node.door.listener.address
-        stalled = [await trio.open_tcp_stream(*address) for _ in range(3 * door.PLACES)]
+        stalled = [await trio.open_tcp_stream(*address) for _ in range(3 * door.MAX_CALLERS)]
         for stream in stalled:
             await stream.send_all(b"STA")
         with trio.fail_after(1):
-            assert (await figures(site))["outstanding"] == (0, "g")
+            assert (await statistics(site))["outstanding"] == (0, "g")
             assert await stalled[0].receive_some() == b""
-        assert len(site.node.door.unfinished) <= door.PLACES
+        assert len(site.node.door.open_calls) <= door.MAX_CALLERS
 
     site.run(scene)
 
 
 def test_a_caller_that_never_finishes_its_line_is_let_go(site, monkeypatch):
-    monkeypatch.setattr(door, "LINE_WITHIN", 0.1)
+    monkeypatch.setattr(door, "CALL_TIMEOUT", 0.1)
 
     async def scene(site):
         node = await site.start()
         stream = await trio.open_tcp_stream(*node.door.listener.address)
         with trio.fail_after(1):
             assert await stream.receive_some() == b""
-        assert node.counters["door_unfinished"] == 1 and not node.door.unfinished
+        assert node.counters["door_unfinished"] == 1 and not node.door.open_calls
 
     site.run(scene)
 
@@ -114,18 +115,17 @@
         for stream in flood:
             await stream.send_all(b"POST /api HTTP/1.1\r\nHo")
         assert await site.submit("a1") == 503
-        while node.owner.tell_now(
-            node.owner.unheard, Answer("none")
-        ):  # the owner stands, so its queue fills up
+        # This task does not yield, so the decision loop does not run and its queue fills up.
+        while node.owner.tell_now(node.owner.unheard, Answer("none")):
             pass
         with trio.fail_after(1):
-            assert (await figures(site))["results.news.declined"] == (1, "c")
+            assert (await statistics(site))["results.news.declined"] == (1, "c")
 
     site.run(scene)
 
 
 def test_each_notification_is_counted_once_where_it_ends(site):
-    ends = {"d1": http(200), "d2": http(200), "o1": http(410), "o2": None}
+    answers = {"d1": http(200), "d2": http(200), "o1": http(410), "o2": None}
 
     async def scene(site):
         node = await site.start()
@@ -138,11 +138,11 @@
             ("u1", "news", 1),
         ):
             await site.submit(number, topic, ttl=ttl, dest=8 if number == "h1" else 7)
-        assert await site.submit("d1") == 202  # once more: nothing new
+        assert await site.submit("d1") == 202  # a repeat: not counted again
         assert await site.submit("x1", "pay", dest=70000) == 503
         await site.until(lambda: not node.owner.held)
-        told = await figures(site)
-        assert {name.removeprefix("results."): value for name, (value, _) in told.items()} == {
+        measured = await statistics(site)
+        assert {name.removeprefix("results."): value for name, (value, _) in measured.items()} == {
             "news.succeeded": 1,
             "news.declined": 2,
             "news.aborted": 0,
@@ -157,12 +157,12 @@
             "discovered": 2,
             "ejected": 0,
         }
-        assert {kind for name, (_, kind) in told.items() if "." in name or name == "forwards"} == {"c"}
+        assert {kind for name, (_, kind) in measured.items() if "." in name or name == "forwards"} == {"c"}
 
-    site.run(scene, lambda first, headers, body: ends[headers["x-trace-id"]])
+    site.run(scene, lambda first, headers, body: answers[headers["x-trace-id"]])
 
 
-def test_what_an_earlier_process_took_on_is_counted_where_it_ends(site):
+def test_what_an_earlier_process_accepted_is_counted_where_it_ends(site):
     async def scene(site):
         await site.start()
         await site.submit("a1", "news")
@@ -172,17 +172,17 @@
         site.far.answer = lambda *message: http(200)
         node = await site.start()
         await site.until(lambda: node.owner.ready and not node.owner.held)
-        told = await figures(site)
-        assert told["results.news.succeeded"] == told["results.order.aborted"] == (1, "c")
+        measured = await statistics(site)
+        assert measured["results.news.succeeded"] == measured["results.order.aborted"] == (1, "c")
 
     site.run(scene, lambda *message: None)
 
 
-def test_an_endpoint_set_aside_is_ejected(site):
+def test_an_ejected_endpoint_is_counted_as_ejected(site):
     async def scene(site):
         node = await site.start()
         await site.until(lambda: node.owner.ready)
         node.owner.at.me.endpoints["s-1"].down = True
-        assert (await figures(site))["ejected"] == (1, "g")
+        assert (await statistics(site))["ejected"] == (1, "g")
 
     site.run(scene)
--- a/tests/test_tables_handover.py
+++ b/tests/test_tables_handover.py
@@ -1,4 +1,4 @@
-"""Plays the table of the hand-over on its two state machines."""
+"""Runs the table of the hand-over against its two state machines."""
 
 import pytest
 from tables import rows
@@ -6,17 +6,18 @@
 from juniperlanding.handover import steps
 
 
-def did(machine, event):
-    word, *seconds = event.split()
-    return getattr(machine, word)(*(round(float(each) * steps.SEC) for each in seconds))
+def apply(machine, event):
+    """The actions that a state machine returns for an event: a method's name and times in seconds."""
+    method, *times = event.split()
+    return getattr(machine, method)(*(round(float(seconds) * steps.SEC) for seconds in times))
 
 
 @pytest.mark.parametrize("row", rows("handover"))
 def test_the_step_is_taken(row):
-    machine = steps.Giver() if row["machine"] == "giver" else steps.Taker(0)
+    machine = steps.Sender() if row["machine"] == "sender" else steps.Receiver(0)
     for event in row.get("before", []):
-        did(machine, event)
-    assert did(machine, row["event"]) == row["actions"]
+        apply(machine, event)
+    assert apply(machine, row["event"]) == row["actions"]
     assert (machine.state, machine.owns) == (row["state"], row["owns"])
-    if "until" in row:
-        assert machine.until == round(row["until"] * steps.SEC)
+    if "deadline" in row:
+        assert machine.deadline == round(row["deadline"] * steps.SEC)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""One process takes over from another: on loopback, with each side dying or stalling at each step."""
+"""Hand-over from one process to another on loopback, with each side ending or stalling at each step."""
 
 import json
 import os
@@ -27,7 +27,7 @@
 
 
 async def start(site, made):
-    """Run a node that was made, as `Site.start` does; `site.scope` ends it."""
+    """Run a node that has been built, as `Site.start` does; cancelling its `scope` ends it."""
     site.node, scope = made, trio.CancelScope()
 
     async def run(task_status):
@@ -41,14 +41,14 @@
 
 
 async def replace(site):
-    """A second process's start beside the first's."""
-    told = site.config()
-    make = partial(node, site, told)
-    return await start(site, await succession.begin(make, told, site.world))
+    """Start a second process, which takes over from the running one."""
+    config = site.config()
+    make = partial(node, site, config)
+    return await start(site, await succession.begin(make, config, site.world))
 
 
-def node(site, told, offer=None):
-    return Node(told, site.world, log=site.log, offer=offer)
+def node(site, config, offer=None):
+    return Node(config, site.world, log=site.log, offer=offer)
 
 
 async def first(site):
@@ -56,21 +56,21 @@
 
 
 async def hello(site, **more):
-    """A process that asks as a successor does, and says what a test wants."""
+    """A channel on which a hand-over has been asked for; the test plays the new process."""
     end = channel.call(str(site.folder / "state"))
-    await end.say(frames.HELLO, **({"listen": "127.0.0.1:0"} | more))
+    await end.send(frames.HELLO, **({"listen": "127.0.0.1:0"} | more))
     return end
 
 
-def gone(site):
-    """As a process's death does: every socket and the lock go, nothing is finished."""
+def kill_new_process(site):
+    """Close every socket and the lock without finishing anything, as the death of the process would."""
     before = site.node.before
     site.node.scope.cancel()
     if before:
         before.close()
 
 
-# ---- what goes over
+# ---- what is handed over
 
 
 def test_a_call_out_at_the_hand_over_is_answered_at_the_new_process_and_runs_once(site):
@@ -98,24 +98,24 @@
 def test_clients_go_over_with_half_their_requests_and_are_not_closed(site):
     async def scene(site):
         await first(site)
-        kept, half, fresh = [await site.client() for _ in range(3)]
-        assert await site.submit("a1", stream=kept) == 202
-        text = (
+        used, half_sent, unused = [await site.client() for _ in range(3)]
+        assert await site.submit("a1", stream=used) == 202
+        request = (
             b"POST /api HTTP/1.1\r\nHost: api\r\nX-Trace-Id: a2\r\nX-Qos: news\r\n"
             b"X-Expires-In-Ms: 5000\r\nX-Addressing: dest=7\r\nContent-Length: 5\r\n\r\nhello"
         )
-        await half.send_all(text[:60])
+        await half_sent.send_all(request[:60])
         await trio.sleep(0.05)
         new = await replace(site)
-        assert (await site.ask(text[60:], half))[0] == 202
-        assert [await site.submit("a3", stream=kept), await site.submit("a4", stream=fresh)] == [202, 202]
+        assert (await site.ask(request[60:], half_sent))[0] == 202
+        assert [await site.submit("a3", stream=used), await site.submit("a4", stream=unused)] == [202, 202]
         await site.until(lambda: not new.ledger.owed)
         assert {headers["x-trace-id"] for _, headers, _ in site.far.got} == {"a1", "a2", "a3", "a4"}
 
     site.run(scene)
 
 
-def test_told_waits_and_what_is_set_aside_are_kept(site):
+def test_retry_after_waits_and_ejected_endpoints_are_kept(site):
     async def scene(site):
         old = await first(site)
         await site.submit("a1")
@@ -162,8 +162,8 @@
 # ---- what fails
 
 
-@pytest.mark.parametrize("word", ["dies", "noise", "stalls", "refuses the offer"])
-def test_the_old_process_serves_on_when_nobody_takes_over(site, monkeypatch, word):
+@pytest.mark.parametrize("failure", ["dies", "noise", "stalls", "refuses the offer"])
+def test_the_old_process_serves_on_when_nobody_takes_over(site, monkeypatch, failure):
     monkeypatch.setattr(steps, "LOAD_WITHIN", SEC // 5)
 
     async def scene(site):
@@ -171,15 +171,15 @@
         assert await site.submit("a1", "order", stream=stream) == 202
         await site.until(lambda: site.far.got)
         end = await hello(site)
-        heard, files = await end.hear(whole=True)
-        assert heard["say"] == frames.OFFER and len(files) >= 3
-        for file in files:
-            os.close(file)
-        if word == "noise":
+        message, descriptors = await end.receive(allow_offer=True)
+        assert message["say"] == frames.OFFER and len(descriptors) >= 3
+        for descriptor in descriptors:
+            os.close(descriptor)
+        if failure == "noise":
             await end.sock.send(b"GET / HTTP/1.1\r\n\r\n")
-        elif word == "refuses the offer":
-            await end.say(frames.REFUSED)
-        if word != "stalls":
+        elif failure == "refuses the offer":
+            await end.send(frames.REFUSED)
+        if failure != "stalls":
             end.close()
         await site.until(lambda: any("serving on" in text for _, text in site.lines))
         await site.until(lambda: old.owner.ready)
@@ -187,7 +187,7 @@
         assert await site.submit("a2", stream=stream) == 202
         await site.until(lambda: not old.ledger.owed)
         assert [headers["x-trace-id"] for _, headers, _ in site.far.got] == ["a1", "a2"]
-        await replace(site)  # and the next attempt works
+        await replace(site)  # the next attempt succeeds
         assert await site.submit("a3", stream=stream) == 202
 
     site.run(scene, late)
@@ -198,7 +198,7 @@
         old = await first(site)
         await replace(site)
         assert await site.submit("a1", dest=8) == 202
-        gone(site)
+        kill_new_process(site)
         await site.until(lambda: not old.replaced and old.owner.ready and "a1" in old.owner.held)
         site.address = old.listener.address
         assert await site.submit("a2") == 202
@@ -216,7 +216,7 @@
             b"\x00" * 10,
             b"JLH1\xff\xff\xff\xff\xff\xff",
             frames.pack("hello")[:-3],
-            frames.HEAD.pack(frames.MARK, 2, 0) + b"[]",
+            frames.HEADER.pack(frames.MARK, 2, 0) + b"[]",
         ):
             with socket.socket(socket.AF_UNIX) as stranger:
                 stranger.connect(path)
@@ -232,11 +232,11 @@
     async def scene(site):
         await first(site)
         elsewhere = await hello(site, listen="127.0.0.1:9")
-        assert (await elsewhere.hear())[0] == {"say": "refused", "why": "it listens at 127.0.0.1:0"}
+        assert (await elsewhere.receive())[0] == {"say": "refused", "why": "it listens at 127.0.0.1:0"}
         one = await hello(site)
-        await one.hear(whole=True)
+        await one.receive(allow_offer=True)
         other = await hello(site)
-        assert (await other.hear())[0]["why"] == "another replacement is under way"
+        assert (await other.receive())[0]["why"] == "another replacement is under way"
         one.close()
 
     site.run(scene)
@@ -245,11 +245,11 @@
 def test_a_word_brings_no_descriptors_and_no_bulk(site):
     async def scene(site):
         old = await first(site)
-        for text, files in ((b" " * 5000, 0), (b"", 3)):
+        for text, descriptors in ((b" " * 5000, 0), (b"", 3)):
             end = channel.call(str(site.folder / "state"))
-            said = frames.pack(frames.HELLO, files, listen="127.0.0.1:0", more=text.decode())
-            await end.sock.send(said)
-            with pytest.raises(OSError):  # it closes without taking them
+            message = frames.pack(frames.HELLO, descriptors, listen="127.0.0.1:0", more=text.decode())
+            await end.sock.send(message)
+            with pytest.raises(OSError):  # the old process closes the channel without accepting them
                 for _ in range(50):
                     await trio.sleep(0.01)
                     await end.sock.send(b"f")
@@ -264,12 +264,12 @@
     async def scene(site):
         old = await first(site)
         path = str(site.folder / "state")
-        mute = [channel.call(path) for _ in range(steps.MOST_CALLERS)]
-        await site.until(lambda: old.succession.callers == steps.MOST_CALLERS)
+        silent = [channel.call(path) for _ in range(steps.MAX_CALLERS)]
+        await site.until(lambda: old.succession.callers == steps.MAX_CALLERS)
         with trio.fail_after(0.5):
             assert await channel.call(path).sock.recv(1) == b""
-        with trio.fail_after(2 * succession.HELLO_WITHIN):
-            assert [await end.sock.recv(1) for end in mute] == [b""] * steps.MOST_CALLERS
+        with trio.fail_after(2 * succession.HELLO_TIMEOUT):
+            assert [await end.sock.recv(1) for end in silent] == [b""] * steps.MAX_CALLERS
         await replace(site)
 
     site.run(scene)
@@ -302,8 +302,10 @@
         else:
             make = partial(node, site, site.config())
             monkeypatch.setattr(succession, "FORM", 2)
-            whole = succession.Offer.whole.__func__
-            monkeypatch.setattr(succession.Offer, "whole", classmethod(lambda *given: formed(whole(*given))))
+            collect = succession.Offer.collect.__func__
+            monkeypatch.setattr(
+                succession.Offer, "collect", classmethod(lambda *args: in_form_1(collect(*args)))
+            )
         before = len(os.listdir("/proc/self/fd"))
         with pytest.raises(DiskFailing if fails == "to load" else succession.OtherForm):
             await succession.begin(make, site.config(), site.world)
@@ -312,21 +314,21 @@
         await site.until(lambda: not old.ledger.owed)
         assert sum("takes over" in text for _, text in site.lines) == 1
         assert sum("code=hand-over-failed" in text for _, text in site.lines) == 1
-        assert len(os.listdir("/proc/self/fd")) <= before + 1  # the watch asked anew
+        assert len(os.listdir("/proc/self/fd")) <= before + 1  # discovery may have opened a connection anew
 
     site.run(scene)
 
 
-def formed(offer):
+def in_form_1(offer):
     offer.state["form"] = 1
     return offer
 
 
 def test_a_record_that_cannot_be_written_down_costs_the_module_and_not_the_process(site, monkeypatch):
-    def fails(me):
+    def fail(me):
         raise TypeError("odd")
 
-    monkeypatch.setattr(carry, "taken_from", fails)
+    monkeypatch.setattr(carry, "taken_from", fail)
 
     async def scene(site):
         await first(site)
@@ -343,12 +345,12 @@
     async def scene(site):
         old, stream = await first(site), await site.client()
         assert await site.submit("a1", dest=8, stream=stream) == 202
-        whole = old.ledger.flush
+        working_flush = old.ledger.flush
 
-        def fails():
+        def fail():
             raise OSError(28, "no space left on device")
 
-        old.ledger.flush = fails
+        old.ledger.flush = fail
         assert await site.submit("a2", dest=8) == 503
         new = []
 
@@ -358,7 +360,7 @@
         site.nursery.start_soon(take_over)
         await trio.sleep(0.3)
         assert not new and not old.replaced
-        old.ledger.flush = whole
+        old.ledger.flush = working_flush
         await site.until(lambda: new)
         assert list(new[0].owner.held) == ["a1"] and await site.submit("a3", dest=8, stream=stream) == 202
 
@@ -371,10 +373,10 @@
     async def scene(site):
         old = await first(site)
         end = await hello(site)
-        _, files = await end.hear(whole=True)
+        _, descriptors = await end.receive(allow_offer=True)
         site.nursery.start_soon(old.drain)
         await site.until(lambda: old.stops_at)
-        channel.drop(files)
+        channel.drop(descriptors)
         end.close()
         await site.until(lambda: any("serving on" in text for _, text in site.lines))
         await site.until(lambda: old.owner.ready and old.owner.at.me.stops_at)
@@ -393,14 +395,14 @@
         await replace(site)
         build, tries = old.build, []
 
-        def fails(offer):
+        def fail_twice(offer):
             tries.append(offer)
             if len(tries) < 3:
                 raise OSError(5, "input/output error")
             build(offer)
 
-        old.build = fails
-        gone(site)
+        old.build = fail_twice
+        kill_new_process(site)
         await site.until(lambda: len(tries) == 3 and not old.replaced and old.owner.ready)
         site.address = old.listener.address
         assert await site.submit("a1") == 202
@@ -431,73 +433,78 @@
     site.run(scene)
 
 
-# ---- who owns, whatever is lost
+# ---- ownership, whichever process or message is lost
 
 
-class Between(RuleBasedStateMachine):
-    """Both machines with a channel between them that may end at any moment, and either process with it."""
+class OwnershipMachine(RuleBasedStateMachine):
+    """Both state machines and a channel that may close at any moment; either process may die."""
 
     def __init__(self):
         super().__init__()
-        self.now, self.giver, self.taker, self.words, self.open = 0, steps.Giver(), None, [], False
-        self.giver_lives, self.free = True, False
+        self.now = 0
+        self.sender = steps.Sender()
+        self.receiver = None
+        self.messages = []
+        self.channel_open = False
+        self.sender_lives = True
+        self.free = False
 
     @precondition(
-        lambda self: not self.open
-        and self.giver_lives
-        and (self.taker is None or self.taker.state == steps.ASKING)
+        lambda self: not self.channel_open
+        and self.sender_lives
+        and (self.receiver is None or self.receiver.state == steps.ASKING)
     )
     @rule()
     def ask(self):
-        self.taker = self.taker or steps.Taker(self.now)
-        if self.giver.hello(self.now):
-            self.open, self.words = True, ["offer"] if self.giver.frozen(self.now) else []
+        self.receiver = self.receiver or steps.Receiver(self.now)
+        if self.sender.hello(self.now):
+            self.channel_open, self.messages = True, ["offer"] if self.sender.frozen(self.now) else []
 
-    @precondition(lambda self: self.open)
+    @precondition(lambda self: self.channel_open)
     @rule()
     def hears(self):
-        if "offer" in self.words:
-            self.words.remove("offer")
-            if self.taker.offered() and self.taker.loaded():
-                self.words.append("ready")
-        elif "ready" in self.words:
-            self.words.remove("ready")
-            if self.giver.ready():
-                self.words.append("yours")
-        elif "yours" in self.words:
-            self.words.remove("yours")
-            self.taker.yours()
-
-    @precondition(lambda self: self.open)
-    @rule(unsaid=st.booleans())
-    def channel_ends(self, unsaid):
-        """By the giver's doubt, which it may have only while it owns."""
-        if self.giver.owns:
-            self.open, self.words = False, []
-            self.giver.lost()
-            self.taker.lost(self.now)
-        elif unsaid and "yours" in self.words:
-            self.open, self.words = False, []
-            self.giver.unsaid()
-            self.taker.lost(self.now)
-
-    @precondition(lambda self: self.taker is not None)
+        if "offer" in self.messages:
+            self.messages.remove("offer")
+            if self.receiver.offered() and self.receiver.loaded():
+                self.messages.append("ready")
+        elif "ready" in self.messages:
+            self.messages.remove("ready")
+            if self.sender.ready():
+                self.messages.append("yours")
+        elif "yours" in self.messages:
+            self.messages.remove("yours")
+            self.receiver.yours()
+
+    @precondition(lambda self: self.channel_open)
+    @rule(send_fails=st.booleans())
+    def channel_ends(self, send_fails):
+        """The sender gives up, which it may do only while it owns the folder."""
+        if self.sender.owns:
+            self.channel_open, self.messages = False, []
+            self.sender.lost()
+            self.receiver.lost(self.now)
+        elif send_fails and "yours" in self.messages:
+            self.channel_open, self.messages = False, []
+            self.sender.yours_not_sent()
+            self.receiver.lost(self.now)
+
+    @precondition(lambda self: self.receiver is not None)
     @rule()
-    def taker_dies(self):
-        self.taker, self.words = None, []
-        if self.open:
-            self.open = False
-            if self.giver_lives:
-                self.giver.lost()
-
-    @precondition(lambda self: self.giver_lives and self.open)
+    def new_process_dies(self):
+        self.receiver, self.messages = None, []
+        if self.channel_open:
+            self.channel_open = False
+            if self.sender_lives:
+                self.sender.lost()
+
+    @precondition(lambda self: self.sender_lives and self.channel_open)
     @rule()
-    def giver_dies(self):
-        heard = "yours" in self.words  # what was said before it died is still read
-        self.giver_lives, self.open, self.words = False, False, []
-        if heard:
-            self.taker.yours()
-        self.taker.lost(self.now)
+    def current_process_dies(self):
+        was_sent = "yours" in self.messages  # a message sent before the process died is still read
+        self.sender_lives, self.channel_open, self.messages = False, False, []
+        if was_sent:
+            self.receiver.yours()
+        self.receiver.lost(self.now)
 
     @rule(seconds=st.integers(0, 3))
     def time(self, seconds):
@@ -505,45 +512,47 @@
 
     @invariant()
     def never_two(self):
-        assert not (self.giver_lives and self.giver.owns and self.taker and self.taker.owns)
+        assert not (self.sender_lives and self.sender.owns and self.receiver and self.receiver.owns)
 
     @invariant()
     def never_none_while_nobody_speaks(self):
-        if self.giver_lives and not self.open:
-            assert self.giver.owns or self.taker and self.taker.owns
+        if self.sender_lives and not self.channel_open:
+            assert self.sender.owns or self.receiver and self.receiver.owns
 
 
-TestBetween = Between.TestCase
-TestBetween.settings = settings(max_examples=200, stateful_step_count=30, derandomize=True, deadline=None)
+TestOwnership = OwnershipMachine.TestCase
+TestOwnership.settings = settings(max_examples=200, stateful_step_count=30, derandomize=True, deadline=None)
 
 
 def test_what_comes_out_of_turn_changes_nothing():
-    giver, taker = steps.Giver(), steps.Taker(0)
-    assert giver.ready() == giver.frozen(0) == taker.yours() == taker.loaded() == []
-    assert giver.owns and not taker.owns
-    loading = steps.Taker(0)
+    sender, receiver = steps.Sender(), steps.Receiver(0)
+    assert sender.ready() == sender.frozen(0) == receiver.yours() == receiver.loaded() == []
+    assert sender.owns and not receiver.owns
+    loading = steps.Receiver(0)
     assert loading.offered() and loading.lost(1) == [steps.RELEASE, steps.WAIT] and not loading.offered()
     assert loading.lost(steps.JOIN_WITHIN) == [steps.END]
-    assert taker.lost(steps.JOIN_WITHIN - 1) == [steps.ASK] and taker.lost(steps.JOIN_WITHIN) == [steps.END]
+    assert receiver.lost(steps.JOIN_WITHIN - 1) == [steps.ASK] and receiver.lost(steps.JOIN_WITHIN) == [
+        steps.END
+    ]
 
 
-# ---- the module's records
+# ---- the records of the decision module
 
 
 def test_the_module_goes_on_as_if_nothing_had_been(bed):
-    """The same events after carrying over give the same requests as without."""
+    """After the hand-over the same events make the decision module ask for the same as without one."""
     bed.deliver(5)
-    out, refused = bed.take(2), bed.take(1)
+    in_flight, throttled = bed.take(2), bed.take(1)
     bed.turn()
-    bed.end(refused, "throttled", wait=3 * SEC)
+    bed.end(throttled, "throttled", wait=3 * SEC)
     bed.take(0)
     bed.turn(0.01)
-    told = json.loads(json.dumps(carry.taken_from(bed.at.me)))
+    exported = json.loads(json.dumps(carry.taken_from(bed.at.me)))
     other = Dispatcher(type(bed.host)(), bed.at.me.settings, seed=7, now=bed.at.now)
-    carry.given_to(other.me, told)
+    carry.given_to(other.me, exported)
     asked = len(bed.host.asked)
     for at in (bed.at, other):
-        at.outcome(out, 0, "delivered", latency=SEC // 9, over=True)
+        at.outcome(in_flight, 0, "delivered", latency=SEC // 9, over=True)
         for _ in range(100):
             at.now += SEC // 5
             at.wake(at.now)
@@ -552,7 +561,7 @@
 
 
 @pytest.mark.parametrize(
-    "told",
+    "exported",
     [
         {},
         {"records": [[99]], "instance": []},
@@ -561,10 +570,10 @@
         {"records": 5, "instance": 5},
     ],
 )
-def test_records_that_cannot_be_read_leave_the_module_as_it_was(bed, told):
+def test_records_that_cannot_be_read_leave_the_module_as_it_was(bed, exported):
     before = bed.at.me.endpoints
     with pytest.raises(carry.Unknown):
-        carry.given_to(bed.at.me, told)
+        carry.given_to(bed.at.me, exported)
     assert bed.at.me.endpoints is before
 
 
@@ -580,7 +589,7 @@
         '[[topic]]\nname = "news"\nkind = "repeatable"\nobjective = "2s"\nttl = "20s"\n'
         '[[endpoint]]\nid = "e-1"\naddress = "127.0.0.1:1"\ndestination = 7\nkind = "shop"\n'
     )
-    text = (
+    request = (
         "POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: {}\r\nX-Qos: news\r\nX-Expires-In-Ms: 9000\r\n"
         "X-Addressing: dest=7\r\nContent-Length: 0\r\n\r\n"
     )
@@ -592,25 +601,25 @@
             stderr=subprocess.PIPE,
         )
 
-    def until(process, word):
-        while word not in (line := process.stderr.readline()):
+    def wait_for_line(process, text):
+        while text not in (line := process.stderr.readline()):
             assert line, "ended early"
 
     processes = [run()]
     try:
-        until(processes[0], " start ")
+        wait_for_line(processes[0], " start ")
         with socket.create_connection(("127.0.0.1", port)) as client:
             client.settimeout(5)
             for number in range(3):
-                client.sendall(text.format(f"a{number}").encode())
+                client.sendall(request.format(f"a{number}").encode())
                 assert client.recv(4096).startswith(b"HTTP/1.1 202")
                 processes.append(run())
-                until(processes[-1], " start ")
-                until(processes[-2], "replaced by=")
+                wait_for_line(processes[-1], " start ")
+                wait_for_line(processes[-2], "replaced by=")
                 processes[-2].send_signal(signal.SIGTERM)
                 began = time.monotonic()
                 assert processes[-2].wait(5) == 0 and time.monotonic() - began < 1
-            client.sendall(text.format("a3").encode())
+            client.sendall(request.format("a3").encode())
             assert client.recv(4096).startswith(b"HTTP/1.1 202")
     finally:
         for process in processes:
