--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -1,4 +1,4 @@
-"""What other customers' settings ask: topic types that keep their order, and tenants with shares."""
+"""Settings of some deployments: topic types delivered in order by key, and tenants with shares."""
 
 import pytest
 from conftest import ORDERED, WIRE, Bed
@@ -17,35 +17,37 @@
     "deadline_ns": 20 * SEC,
     "worth": 1,
 }
-SHARES = {"tenants": {"a": 0.2, "b": 0.2}, "over_share": 0.05}  # two at once and one each 10 s, at one of two
+# At one of two dispatchers: two at once, then one every 10 s.
+SHARES = {"tenants": {"a": 0.2, "b": 0.2}, "over_share": 0.05}
 
 
-async def keyed(site, number, query="", *more):
+async def submit_keyed(site, number, query="", *more):
     text = handed(f"X-Trace-Id: {number}", "X-Qos: step", "X-Expires-In-Ms: 20000", *more)
     return (await site.ask(text.replace(b"/api ", b"/api" + query.encode() + b" ", 1)))[0]
 
 
-def sent(site):
+def sent_ids(site):
     return [headers["x-trace-id"] for _, headers, _ in site.far.got if "x-trace-id" in headers]
 
 
 def ordered(site, answer="late"):
+    """Configures an ordered topic type; returns an endpoint that gives `answer` to `a1` and 200 to others."""
     site.wire = WIRE | {"request_classes": [STEP]}
     return lambda first, headers, body: answer if headers.get("x-trace-id") == "a1" else http(200)
 
 
 def test_what_carries_one_key_goes_in_turn(site):
-    """`c1` comes after `a2` and goes before it: the round that could have sent `a2` is over."""
+    """`c1` is accepted after `a2` and sent before it, so `a2` could have been sent by then."""
 
     async def scene(site):
         node = await site.start()
         for number, query in ("a1", "?key=1f"), ("a2", "?key=1f"), ("c1", "?key=20"), ("d1", ""):
-            assert await keyed(site, number, query) == 202
-        await site.until(lambda: {"c1", "d1"} <= set(sent(site)))
-        assert "a2" not in sent(site)
+            assert await submit_keyed(site, number, query) == 202
+        await site.until(lambda: {"c1", "d1"} <= set(sent_ids(site)))
+        assert "a2" not in sent_ids(site)
         site.far.go.set()
         await site.until(lambda: not node.ledger.owed)
-        assert sent(site)[-1] == "a2"
+        assert sent_ids(site)[-1] == "a2"
 
     answer = ordered(site)
     site.run(scene, answer)
@@ -55,18 +57,18 @@
     async def scene(site):
         await site.start()
         for number in "a1", "a2":
-            assert await keyed(site, number, "?key=1f") == 202
-        await site.until(lambda: sent(site) == ["a1"])
+            assert await submit_keyed(site, number, "?key=1f") == 202
+        await site.until(lambda: sent_ids(site) == ["a1"])
         site.kill()
         site.far.answer = ordered(site, "late")
         node = await site.start()
-        await site.until(lambda: sent(site) == ["a1", "a1"])
-        assert await keyed(site, "c1", "?key=20") == 202
-        await site.until(lambda: "c1" in sent(site))
-        assert "a2" not in sent(site)
+        await site.until(lambda: sent_ids(site) == ["a1", "a1"])
+        assert await submit_keyed(site, "c1", "?key=20") == 202
+        await site.until(lambda: "c1" in sent_ids(site))
+        assert "a2" not in sent_ids(site)
         site.far.go.set()
         await site.until(lambda: not node.ledger.owed)
-        assert sent(site) == ["a1", "a1", "c1", "a2"]
+        assert sent_ids(site) == ["a1", "a1", "c1", "a2"]
 
     answer = ordered(site, None)
     site.run(scene, answer)
@@ -86,7 +88,7 @@
 def test_a_key_that_may_mean_two_things_is_refused(site, query, status):
     async def scene(site):
         await site.start()
-        assert await keyed(site, "b1", query) == status
+        assert await submit_keyed(site, "b1", query) == status
 
     answer = ordered(site)
     site.run(scene, answer)
@@ -95,14 +97,14 @@
 def test_two_tenants_of_one_request_are_refused(site):
     async def scene(site):
         await site.start()
-        assert await keyed(site, "b1", "", "X-Customer: a", "x-customer: b") == 400
+        assert await submit_keyed(site, "b1", "", "X-Customer: a", "x-customer: b") == 400
 
     answer = ordered(site)
     site.run(scene, answer)
 
 
 def test_what_is_inside_its_tenant_s_share_goes_first(site):
-    """With one slot: `a1` holds it while the others come, of which `a2` is beyond the share of its tenant."""
+    """There is one slot: `a1` holds it while the others are accepted; `a2` is beyond its tenant's share."""
     site.wire = WIRE | {
         "tenants": [{"name": name, "allowance_per_s": 0.01} for name in "ab"],
         "over_share_worth": 0.05,
@@ -112,14 +114,14 @@
 
     async def scene(site):
         node = await site.start()
-        assert await keyed(site, "a1", "", "X-Customer: a") == 202
-        await site.until(lambda: sent(site))
+        assert await submit_keyed(site, "a1", "", "X-Customer: a") == 202
+        await site.until(lambda: sent_ids(site))
         for number, tenant in ("a2", "a"), ("b1", "b"):
-            assert await keyed(site, number, "", f"X-Customer: {tenant}") == 202
-        assert sent(site) == ["a1"]
+            assert await submit_keyed(site, number, "", f"X-Customer: {tenant}") == 202
+        assert sent_ids(site) == ["a1"]
         site.far.go.set()
         await site.until(lambda: not node.ledger.owed)
-        assert sent(site) == ["a1", "b1", "a2"]
+        assert sent_ids(site) == ["a1", "b1", "a2"]
 
     site.run(scene, lambda *message: "late")
 
@@ -148,7 +150,7 @@
 
 
 def test_shares_come_from_the_settings_and_tenants_over_the_simulator_s_wire():
-    told = in_our_words(
+    converted = in_our_words(
         {
             "tenants": [
                 {"name": "a", "share": 0.5, "allowance_per_s": 0.2},
@@ -157,7 +159,7 @@
             "over_share_worth": 0.05,
         }
     )
-    assert {name: told[name] for name in SHARES} == SHARES
+    assert {name: converted[name] for name in SHARES} == SHARES
     assert "tenants" not in in_our_words({"tenants": []})
     bed = Bed(**SHARES)
     Drill().incoming(bed.at, 1, 0, 1, 0, bed.at.now + SEC, 0, 1.0, 0)
@@ -166,7 +168,8 @@
 
 
 def test_a_key_rests_until_a_call_of_several_is_over_in_which_one_timed_out():
-    """Its copy is still out: the endpoint has it until the call's end, and the pause begins there."""
+    """A notification timed out in a batched call, which is still running: the endpoint may process it until
+    the call ends, so the pause of its key begins only then."""
     bed = Bed(batch_by_kind=[5], order_pause=2 * SEC)
     first, other = bed.take(ORDERED, ttl=1, key="1f"), bed.take(ORDERED, key="20")
     bed.turn()
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -1,5 +1,5 @@
-"""Settings unlike those of any deployment we know: whatever they say, what is taken on gets one end, what can
-be delivered is, and what may not run twice does not."""
+"""Unusual settings.  Whatever they say, every accepted notification ends exactly once, it is delivered where
+that is possible, and one that may not run twice does not."""
 
 import json
 from collections import Counter
@@ -15,16 +15,20 @@
 
 CLASSES = WIRE["request_classes"]
 EFFECTS = {"news": "safe", "order": "unsafe", "pay": "keyed"}
-WELL, REST = 7, {9: "reset", 10: None, 11: http(503), 12: http(429, b"", "Retry-After: 0.2")}
-SOON = 800  # milliseconds: the TTL of what nobody delivers
+# Destinations: one whose endpoint works, and what the endpoints of the others answer.
+WORKING = 7
+FAILING = {9: "reset", 10: None, 11: http(503), 12: http(429, b"", "Retry-After: 0.2")}
+SHORT_TTL = 800  # milliseconds; for notifications that no endpoint accepts
 
 
-def classes(**told):
-    return {"request_classes": [one | told for one in CLASSES]}
+def classes(**changes):
+    """All request classes with these values changed."""
+    return {"request_classes": [request_class | changes for request_class in CLASSES]}
 
 
-def changed(section, **told):
-    return {section: WIRE[section] | told}
+def changed(section, **changes):
+    """A section of the settings with these values changed."""
+    return {section: WIRE[section] | changes}
 
 
 SECTIONS = (
@@ -87,76 +91,81 @@
 
 
 async def peers(site):
-    """An endpoint for each way in which calls fare, at a destination of its own."""
-    places = {WELL: site.far}
-    for cell, answer in REST.items():
-        places[cell] = await Far(lambda *message, answer=answer: answer).open(site.nursery)
-    members = [member(cell, far.address, cell=cell) | {"size": 1.0} for cell, far in places.items()]
+    """Starts one endpoint for each kind of answer; returns them by destination, of which each has one."""
+    endpoints = {WORKING: site.far}
+    for cell, answer in FAILING.items():
+        endpoints[cell] = await Far(lambda *message, answer=answer: answer).open(site.nursery)
+    members = [member(cell, far.address, cell=cell) | {"size": 1.0} for cell, far in endpoints.items()]
     site.told = {"known": {"revision": 1, "complete": True, "members": members}}
-    return places
+    return endpoints
 
 
-def well(first, headers, body):
+def working(first, headers, body):
+    """An endpoint that accepts every notification."""
     if first.split()[1] != protocol.MANY:
         return http(200)
-    ends = [{"id": one["id"], "state": "accepted"} for one in json.loads(body)]
-    return http(200, json.dumps(ends).encode())
+    outcomes = [{"id": message["id"], "state": "accepted"} for message in json.loads(body)]
+    return http(200, json.dumps(outcomes).encode())
 
 
 def ids(far):
-    """How often each notification came, alone or with others.  A port may have visitors of another's."""
+    """How often each notification arrived, in a single or a batched call.
+
+    Only calls on the two known paths count: a test running in parallel may call a port that was reused."""
     calls = [(first.split()[1], headers, body) for first, headers, body in far.got]
-    many = [one["id"] for where, _, body in calls if where == protocol.MANY for one in json.loads(body)]
-    return Counter(many + [headers["x-trace-id"] for where, headers, _ in calls if where == protocol.ONE])
+    batched = [
+        message["id"] for path, _, body in calls if path == protocol.MANY for message in json.loads(body)
+    ]
+    return Counter(batched + [headers["x-trace-id"] for path, headers, _ in calls if path == protocol.ONE])
 
 
 @pytest.mark.parametrize("settings", CASES.values(), ids=CASES)
 def test_each_gets_one_end_whatever_the_settings_say(site, settings):
-    """What the module doesn't end in time is ended for it, and counted as a fault."""
+    """A notification that the decision module does not end in time is ended for it and counted as a fault."""
     site.wire = WIRE | settings
     effects = {
-        one["name"]: None
-        if one["effect"] == "keyed" and one.get("group") not in ("all", None)
-        else one["effect"]
-        for one in site.wire["request_classes"]
+        request_class["name"]: None
+        if request_class["effect"] == "keyed" and request_class.get("group") not in ("all", None)
+        else request_class["effect"]
+        for request_class in site.wire["request_classes"]
     }
 
     async def scene(site):
-        places = await peers(site)
+        endpoints = await peers(site)
         node = await site.start()
-        taken = {}
-        for cell in places:
+        accepted = {}
+        for cell in endpoints:
             for topic in EFFECTS:
                 number = f"{topic}-{cell}"
-                ttl, more = 5000 if cell == WELL else SOON, f"X-Customer: t{cell}\r\n"
+                ttl, more = 5000 if cell == WORKING else SHORT_TTL, f"X-Customer: t{cell}\r\n"
                 status = await site.submit(number, topic, ttl=ttl, dest=cell, more=more)
-                if status == 202 or cell == WELL:  # else no place is left, or its time is up
+                if status == 202 or cell == WORKING:  # else at capacity, or its TTL has passed
                     assert status == 202
-                    taken[number] = topic, cell
-                if cell == WELL:
+                    accepted[number] = topic, cell
+                if cell == WORKING:
                     await site.until(lambda number=number: number not in node.ledger.owed)
         await site.until(lambda: not node.ledger.owed)
         assert not node.counters["faults"] and "fault" not in [event for event, _ in site.lines]
         notices = Counter(notice["message"] for notice in site.platform.notices)
-        for number, (topic, cell) in taken.items():
-            runs = ids(places[cell])[number]
-            if cell == WELL:
+        for number, (topic, cell) in accepted.items():
+            runs = ids(endpoints[cell])[number]
+            if cell == WORKING:
                 assert (runs, notices[number]) == (1, 0)
             else:
                 assert notices[number] == 1
             if cell in (9, 10) and effects[topic] not in ("safe", "keyed"):
                 assert runs <= 1
-        assert {cell for _, cell in taken.values()} - {WELL}
+        assert {cell for _, cell in accepted.values()} - {WORKING}
 
-    site.run(scene, well)
+    site.run(scene, working)
 
 
-@pytest.mark.parametrize("most, held, calls", [(1, 12, 12), (3, 12, 4), (50, 49, 1), (50, 60, 2)])
-def test_a_call_carries_as_many_as_the_settings_say(site, most, held, calls):
-    """The first is out over the only slot while the others come."""
+@pytest.mark.parametrize("max_batch, pending, calls", [(1, 12, 12), (3, 12, 4), (50, 49, 1), (50, 60, 2)])
+def test_a_call_carries_as_many_as_the_settings_say(site, max_batch, pending, calls):
+    """The first notification occupies the only slot while the others are accepted."""
     site.wire = (
         WIRE
-        | {"family_info": {"workers": 1, "batch_by_kind": [most, 1]}}
+        | {"family_info": {"workers": 1, "batch_by_kind": [max_batch, 1]}}
         | changed("permissions", most_held=100, cancel=False)
     )
 
@@ -165,14 +174,14 @@
         stream = await site.client()
         assert await site.submit("first", stream=stream, ttl=60_000) == 202
         await site.until(lambda: site.far.got)
-        for number in range(held):
+        for number in range(pending):
             assert await site.submit(f"n{number}", stream=stream, ttl=60_000) == 202
         site.far.go.set()
         await site.until(lambda: not node.ledger.owed)
-        assert ids(site.far) == Counter(["first", *(f"n{number}" for number in range(held))])
+        assert ids(site.far) == Counter(["first", *(f"n{number}" for number in range(pending))])
         assert len(site.far.got) == 1 + calls and not site.platform.notices
 
-    site.run(scene, lambda *message: "late" if message[1].get("x-trace-id") == "first" else well(*message))
+    site.run(scene, lambda *message: "late" if message[1].get("x-trace-id") == "first" else working(*message))
 
 
 @pytest.mark.parametrize(
@@ -212,22 +221,22 @@
     "settings", [{"effect": "perhaps"}, {"effect": None}, {}, {"effect": "keyed", "group": "hall"}]
 )
 def test_what_nobody_says_may_run_twice_is_once_only(settings):
-    told = in_our_words({"request_classes": [{"name": "odd", **settings}]})
-    assert told["topic_types"][0]["kind"] == "once-only"
+    converted = in_our_words({"request_classes": [{"name": "odd", **settings}]})
+    assert converted["topic_types"][0]["kind"] == "once-only"
 
 
 def test_what_may_run_twice_anywhere_needs_no_group_that_drops_repeats():
-    told = in_our_words({"request_classes": [{"name": "odd", "effect": "safe", "group": "hall"}]})
-    assert told["topic_types"][0]["kind"] == "repeatable"
+    converted = in_our_words({"request_classes": [{"name": "odd", "effect": "safe", "group": "hall"}]})
+    assert converted["topic_types"][0]["kind"] == "repeatable"
 
 
 def test_what_the_platform_s_file_tells_as_null_is_not_told(tmp_path):
     site = Site(tmp_path)
     site.far = site.platform = type("", (), {"address": ("127.0.0.1", 1)})
     site.told = {"seed": None, "name": None, "limits": {"disk_mb": None, "memory_mb": None, "sockets": None}}
-    told = site.config()
-    assert (told.disk, told.memory, told.sockets) == (64_000_000, 512_000_000, 1024)
+    config = site.config()
+    assert (config.disk, config.memory, config.sockets) == (64_000_000, 512_000_000, 1024)
     site.told = {"limits": None, "settings": None, "known": None}
-    told = site.config()
-    assert told.connect_within == SEC and told.settings == {"topic_types": []}
+    config = site.config()
+    assert config.connect_within == SEC and config.settings == {"topic_types": []}
     assert read(site.environ, site.world.files).name == "n0"
