--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -441,16 +441,12 @@
 
     def __init__(self):
         super().__init__()
-        self.now = 0
-        self.sender = steps.Sender()
-        self.receiver = None
-        self.messages = []
-        self.channel_open = False
+        self.now, self.sender, self.receiver, self.messages, self.open = 0, steps.Sender(), None, [], False
         self.sender_lives = True
         self.free = False
 
     @precondition(
-        lambda self: not self.channel_open
+        lambda self: not self.open
         and self.sender_lives
         and (self.receiver is None or self.receiver.state == steps.ASKING)
     )
@@ -458,9 +454,9 @@
     def ask(self):
         self.receiver = self.receiver or steps.Receiver(self.now)
         if self.sender.hello(self.now):
-            self.channel_open, self.messages = True, ["offer"] if self.sender.frozen(self.now) else []
+            self.open, self.messages = True, ["offer"] if self.sender.frozen(self.now) else []
 
-    @precondition(lambda self: self.channel_open)
+    @precondition(lambda self: self.open)
     @rule()
     def hears(self):
         if "offer" in self.messages:
@@ -475,16 +471,16 @@
             self.messages.remove("yours")
             self.receiver.yours()
 
-    @precondition(lambda self: self.channel_open)
+    @precondition(lambda self: self.open)
     @rule(send_fails=st.booleans())
     def channel_ends(self, send_fails):
         """The sender gives up, which it may do only while it owns the folder."""
         if self.sender.owns:
-            self.channel_open, self.messages = False, []
+            self.open, self.messages = False, []
             self.sender.lost()
             self.receiver.lost(self.now)
         elif send_fails and "yours" in self.messages:
-            self.channel_open, self.messages = False, []
+            self.open, self.messages = False, []
             self.sender.yours_not_sent()
             self.receiver.lost(self.now)
 
@@ -492,16 +488,16 @@
     @rule()
     def new_process_dies(self):
         self.receiver, self.messages = None, []
-        if self.channel_open:
-            self.channel_open = False
+        if self.open:
+            self.open = False
             if self.sender_lives:
                 self.sender.lost()
 
-    @precondition(lambda self: self.sender_lives and self.channel_open)
+    @precondition(lambda self: self.sender_lives and self.open)
     @rule()
     def current_process_dies(self):
         was_sent = "yours" in self.messages  # a message sent before the process died is still read
-        self.sender_lives, self.channel_open, self.messages = False, False, []
+        self.sender_lives, self.open, self.messages = False, False, []
         if was_sent:
             self.receiver.yours()
         self.receiver.lost(self.now)
@@ -516,7 +512,7 @@
 
     @invariant()
     def never_none_while_nobody_speaks(self):
-        if self.sender_lives and not self.channel_open:
+        if self.sender_lives and not self.open:
             assert self.sender.owns or self.receiver and self.receiver.owns
 
 
