--- a/juniperlanding/net/succession.py
+++ b/juniperlanding/net/succession.py
@@ -98,14 +98,14 @@
             "discovery": owner.discovery.address,
             "following": owner.discovery.on,
             "clients": [
-                [unread_bytes(line), line.until - now if line.until < float("inf") else None]
+                [received_bytes(line), line.until - now if line.until < float("inf") else None]
                 for line in clients
             ],
             "calls": [
                 [
                     call.endpoint,
                     call.began_at,
-                    unread_bytes(call.line),
+                    received_bytes(call.line),
                     call.line.used_at,
                     [
                         [
@@ -170,12 +170,12 @@
 
     def clients(self):
         """(line, seconds left for its request) of each client connection."""
-        for sock, (unread, left) in zip(self.groups[0], self.state["clients"], strict=True):
-            yield Line(sock, h11.SERVER, b64decode(unread)), float("inf") if left is None else max(left, 0)
+        for sock, (received, left) in zip(self.groups[0], self.state["clients"], strict=True):
+            yield Line(sock, h11.SERVER, b64decode(received)), float("inf") if left is None else max(left, 0)
 
     def calls(self):
         """(call, line) of each call whose request has been written out."""
-        for sock, (endpoint, began_at, unread, used_at, sends) in zip(
+        for sock, (endpoint, began_at, received, used_at, sends) in zip(
             self.groups[1], self.state["calls"], strict=True
         ):
             call = Call(
@@ -186,7 +186,7 @@
                 ],
                 began_at,
             )
-            line = Line(sock, h11.CLIENT, b64decode(unread))
+            line = Line(sock, h11.CLIENT, b64decode(received))
             line.used_at = used_at
             line.http.send(h11.Request(method="POST", target="/", headers=[("Host", "endpoint")]))
             line.http.send(h11.EndOfMessage())  # the old process sent the request; next comes its response
@@ -209,7 +209,7 @@
             resource.close()
 
 
-def unread_bytes(line):
+def received_bytes(line):
     """All bytes received of the current message, as base64.
 
     `line.early` holds what the previous process received: if the line is frozen before it is read again,
