--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -11,6 +11,7 @@
 import threading
 import time
 from contextlib import contextmanager, suppress
+from dataclasses import replace
 from functools import partial
 
 import pytest
@@ -246,8 +247,9 @@
 
 
 async def endpoints(site, outcomes, most_open=8):
+    world = replace(system(), clock=CLOCK)  # as `send` reads it, so that a stepped wall clock does no harm
     calls = Endpoints(
-        site.config(), system(), most_open, partial(record_outcomes, outcomes), Counters(), site.log
+        site.config(), world, most_open, partial(record_outcomes, outcomes), Counters(), site.log
     )
     calls.book["s-1"] = site.far.address
     return calls
@@ -613,9 +615,9 @@
         node = await site.start()
         assert await site.submit("a1", "order") == 202
         await site.until(lambda: site.far.got)
-        node.ledger.owed["a1"].ttl_at = CLOCK.now() + int(left * SEC)
+        node.ledger.owed["a1"].ttl_at = site.world.clock.now() + int(left * SEC)
         await node.owner.tell(
-            node.owner.finished, "s-1", [("a1", 0, ending, SEC, 0, True, None)], CLOCK.now()
+            node.owner.finished, "s-1", [("a1", 0, ending, SEC, 0, True, None)], site.world.clock.now()
         )
         await site.until(lambda: not node.ledger.owed)
         assert [notice["message"] for notice in site.platform.notices] == notices
@@ -657,7 +659,9 @@
         assert await site.submit("a3") == 503
         gate.set()
         owner.cancels.clear()
-        await owner.tell(owner.finished, "s-1", [("a1", 0, "delivered", SEC, 0, True, None)], CLOCK.now())
+        await owner.tell(
+            owner.finished, "s-1", [("a1", 0, "delivered", SEC, 0, True, None)], site.world.clock.now()
+        )
         await site.until(lambda: not owner.held)
         assert owner.stuck and node.counters["svc.results.order.succeeded"] == 1
         await site.until(lambda: site.platform.notices)  # past its TTL it cannot run any more
@@ -691,7 +695,7 @@
         node = await site.start()
         assert await site.submit("a1", "order") == 202
         await site.until(lambda: site.far.got)
-        heard_at = CLOCK.now()
+        heard_at = site.world.clock.now()
         node.ledger.owed["a1"].ttl_at = heard_at + SEC // 5
         await trio.sleep(0.21)
         await node.owner.tell(
@@ -1266,7 +1270,7 @@
 def test_one_record_that_cannot_be_restored_keeps_no_other_back(site):
     async def scene(site):
         node = Node(site.config(), site.world, log=site.log)
-        for number, ttl_at in (("a1", "soon"), ("a2", CLOCK.now() + SEC)):
+        for number, ttl_at in (("a1", "soon"), ("a2", site.world.clock.now() + SEC)):
             node.ledger.take(number, "news", 8, ttl_at, "", b"")
         node.owner.begin([])
         assert node.owner.ready and node.counters["faults"] == 1
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -588,7 +588,7 @@
 
     async def scene(site):
         site.config()
-        now = CLOCK.now()
+        now = site.world.clock.now()
         accepted = [["t", name, topic, 7, now + 9 * SEC, name, ""] for name in ("a0", "a1", "a2")]
         lost = ["p", "a1", 0, 0, now - SEC] if what == "p" else ["x", "a1"]
         lines = [line(accepted[0]), line(accepted[1]), beyond_repair(lost), line(accepted[2])]
