--- a/juniperlanding/ground/lock.py
+++ b/juniperlanding/ground/lock.py
@@ -1,4 +1,4 @@
-"""A folder belongs to one running instance: a locked file in it names the process."""
+"""A lock file ensures that only one process uses a state folder; it holds the id of that process."""
 
 import errno
 import fcntl
@@ -7,14 +7,14 @@
 
 from juniperlanding.ground.errors import Trouble
 
-FILE = "lock"
+LOCK_FILE = "lock"
 
 
 class Taken(Trouble, OSError):
-    """Another process has the folder; `pid` names it, 0 when it cannot be read."""
+    """Another process uses the folder; `pid` is its process id, 0 when that cannot be read."""
 
     code = "folder-taken"
-    remedy = "End the process that is named, or use another folder; never remove the file `lock`."
+    remedy = "Stop the named process, or use another folder; never remove the file `lock`."
 
     def __init__(self, folder, pid):
         super().__init__(errno.EBUSY, f"in use by process {pid}" if pid else "in use", str(folder))
@@ -22,21 +22,22 @@
 
 
 class Lock:
-    """`file` is its descriptor; handed to another process, it holds the lock there too, until both closed it.
+    """An exclusive lock on a folder, held from construction to `close` or to the end of the process.
 
-    Held from construction to `close`, or to the end of the process however that comes.
+    `file` is the descriptor of the lock file.  When it is passed to another process, the lock is held until
+    both processes have closed it.
 
-    Raises `Taken`, or OSError for a folder that is missing or cannot be written; then nothing was changed.
-    Threat: two processes write one ledger, and each drops what the other took on."""
+    Raises `Taken`, or OSError for a folder that is missing or not writable; nothing has changed then.
+    Without the lock, two processes could write one ledger, and each would drop what the other accepted."""
 
     def __init__(self, folder):
-        path = os.path.join(folder, FILE)
+        path = os.path.join(folder, LOCK_FILE)
         self.file = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             try:
                 fcntl.flock(self.file, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except BlockingIOError:
-                raise Taken(folder, holder(self.file)) from None
+                raise Taken(folder, holder_pid(self.file)) from None
             self.name()
         except BaseException:
             os.close(self.file)
@@ -44,44 +45,44 @@
 
     @classmethod
     def inherited(cls, file):
-        """A lock that another process handed to us; it still names that process."""
+        """A lock received from another process; the file still holds the id of that process."""
         lock = cls.__new__(cls)
         lock.file = file
         return lock
 
     def name(self):
-        """Write down which process has the folder.
+        """Write the id of this process to the lock file.
 
-        Threat: a file that is cut to nothing and written again is flushed by some systems, for 50 ms in which
-        nobody is answered; so it keeps its length.  The lock holds without the name: a disk that fails for a
-        moment must not end a start."""
+        The file keeps its length: some systems flush a file that is truncated and written again, which blocks
+        all answers for 50 ms.  The lock holds without the process id, so a failed write is ignored; a
+        short disk failure must not end a start."""
         with suppress(OSError):
             os.pwrite(self.file, b"%-20d\n" % os.getpid(), 0)
 
     def close(self):
         if self.file >= 0:
-            os.close(self.file)  # the file stays: taking it away could take another's
+            os.close(self.file)  # not removed: by now it may be the lock file of another process
         self.file = -1
 
 
-def holder(file):
-    """The process that an open lock file names, or 0."""
+def holder_pid(file):
+    """The process id in an open lock file, or 0."""
     try:
         return int(os.pread(file, 32, 0))
     except ValueError:
         return 0
 
 
-def in_use(folder):
-    """The process that holds a folder; None when nobody does, 0 when its number cannot be read."""
+def folder_holder(folder):
+    """The id of the process that uses a folder; None when none does, 0 when the id cannot be read."""
     try:
-        file = os.open(os.path.join(folder, FILE), os.O_RDONLY | os.O_CLOEXEC)
+        file = os.open(os.path.join(folder, LOCK_FILE), os.O_RDONLY | os.O_CLOEXEC)
     except FileNotFoundError:
         return None
     try:
         fcntl.flock(file, fcntl.LOCK_SH | fcntl.LOCK_NB)
     except BlockingIOError:
-        return holder(file)
+        return holder_pid(file)
     finally:
         os.close(file)
     return None
--- a/tests/test_ground.py
+++ b/tests/test_ground.py
@@ -1,4 +1,4 @@
-"""The ground: quantities, the operators' file and its faults, lock, log and commands."""
+"""Quantities, the operators' file and its errors, the folder lock, the log, and commands."""
 
 import json
 import os
@@ -138,10 +138,10 @@
 def test_what_a_file_says_goes_before_its_includes_and_lists_are_joined(tmp_path):
     (tmp_path / "fleet.toml").write_text('[limits]\nsockets = 100\ndisk = "1MB"\n[[kind]]\nname = "shed"\n')
     (tmp_path / "a.toml").write_text('include = ["fleet.toml"]\n' + GOOD + "[limits]\nsockets = 200\n")
-    told = file.read(tmp_path / "a.toml", Files())
-    assert told.values["limits.sockets"] == (200, str(tmp_path / "a.toml"))
-    assert told.values["limits.disk"] == (1_000_000, str(tmp_path / "fleet.toml"))
-    assert [kind.name for kind, _ in told.tables["kind"]] == ["shed", "shop"]
+    parsed = file.read(tmp_path / "a.toml", Files())
+    assert parsed.values["limits.sockets"] == (200, str(tmp_path / "a.toml"))
+    assert parsed.values["limits.disk"] == (1_000_000, str(tmp_path / "fleet.toml"))
+    assert [kind.name for kind, _ in parsed.tables["kind"]] == ["shed", "shop"]
 
 
 @settings(max_examples=150, deadline=None)
@@ -151,7 +151,7 @@
     )
 )
 def test_arbitrary_bytes_end_in_the_documented_error_alone(content):
-    one_of_these(content)
+    reads_or_raises_file_error(content)
 
 
 SCALARS = st.one_of(
@@ -177,20 +177,22 @@
 
     try:
         text = tomlkit.dumps(document)
-    except Exception:  # what the writer cannot write is not TOML
+    except Exception:  # a value that tomlkit cannot write is not TOML
         return
-    one_of_these(text.encode("utf-8", "replace"))
+    reads_or_raises_file_error(text.encode("utf-8", "replace"))
 
 
-def one_of_these(content):
-    class Given(Files):
+def reads_or_raises_file_error(content):
+    """Reads `content` as an operators' file; any exception other than `FileError` fails the test."""
+
+    class OneFile(Files):
         def read(self, path, most=0):
             if str(path) != "a.toml":
                 raise FileNotFoundError(2, "No such file or directory", path)
             return content
 
     try:
-        config.from_operators(file.read("a.toml", Given()))
+        config.from_operators(file.read("a.toml", OneFile()))
     except file.FileError as error:
         assert error.lines and all("\n" not in line for line in error.lines)
 
@@ -204,13 +206,13 @@
 
 def test_the_platform_goes_before_the_file_and_each_value_names_its_origin(tmp_path, monkeypatch, capsys):
     (tmp_path / "a.toml").write_text(GOOD + "[holding]\nslots = 5\nmost_held = 9\n")
-    told = {
+    platform = {
         "listen": "127.0.0.1:1",
         "discovery": "127.0.0.1:2",
         "limits": {"disk_mb": 3},
         "settings": {"family_info": {"workers": 7}},
     }
-    (tmp_path / "config.json").write_text(json.dumps(told))
+    (tmp_path / "config.json").write_text(json.dumps(platform))
     monkeypatch.setenv("EDGE_CONFIG", str(tmp_path / "config.json"))
     monkeypatch.setenv("EDGE_LISTEN", "127.0.0.1:3")
     monkeypatch.setenv("EDGE_DISCOVERY", "127.0.0.1:4")
@@ -232,7 +234,7 @@
 
 
 @pytest.mark.parametrize(
-    "argv, code, said",
+    "argv, code, message",
     [
         (["owed", "/no/such/folder"], 2, "no such file"),
         (["nonsense"], 2, "no command"),
@@ -243,11 +245,11 @@
         (["owed"], 2, "Usage"),
     ],
 )
-def test_a_command_that_cannot_be_done_says_so_in_one_line(argv, code, said, capsys, monkeypatch):
+def test_a_command_that_cannot_be_done_says_so_in_one_line(argv, code, message, capsys, monkeypatch):
     monkeypatch.delenv("EDGE_CONFIG", raising=False)
     assert main(argv) == code
     err = capsys.readouterr().err
-    assert said in err and "Traceback" not in err
+    assert message in err and "Traceback" not in err
 
 
 def test_every_command_has_a_usage_of_its_own_and_completion_knows_it(capsys):
@@ -269,7 +271,7 @@
 
 
 def serve(tmp_path, **more):
-    """`serve` on an operators' file that is well but for what `more` sets."""
+    """Start `serve` on a valid operators' file; `more` can set its state folder and port."""
     path = tmp_path / "a.toml"
     path.write_text(
         GOOD.replace(
@@ -287,17 +289,17 @@
     first = serve(tmp_path)
     try:
         assert " start listening=" in first.stderr.readline()
-        port = first.stderr.readline  # the pipe stays open
+        readline = first.stderr.readline  # keeps the pipe open
         (tmp_path / "state" / "ledger").write_bytes(b"as it was\n")
-        second = serve(tmp_path, port=1)  # at the same address it would take over
-        assert second.wait(10) == 2 and "state: it listens at 127.0.0.1:0" in (said := second.stderr.read())
-        assert said.startswith("juniperlanding: hand-over-refused: ") and " Remedy: " in said
-        assert said.count("\n") == 1 and (tmp_path / "state" / "ledger").read_bytes() == b"as it was\n"
-        assert lock.in_use(tmp_path / "state") == first.pid and port
+        second = serve(tmp_path, port=1)  # another address: at the same one it would take over
+        assert second.wait(10) == 2 and "state: it listens at 127.0.0.1:0" in (text := second.stderr.read())
+        assert text.startswith("juniperlanding: hand-over-refused: ") and " Remedy: " in text
+        assert text.count("\n") == 1 and (tmp_path / "state" / "ledger").read_bytes() == b"as it was\n"
+        assert lock.folder_holder(tmp_path / "state") == first.pid and readline
     finally:
         first.kill()
         first.wait()
-    assert lock.in_use(tmp_path / "state") is None
+    assert lock.folder_holder(tmp_path / "state") is None
     missing = serve(tmp_path, state="missing")
     assert (
         missing.wait(10) == 2 and "missing" in missing.stderr.read() and not (tmp_path / "missing").exists()
