--- a/juniperlanding/ground/file.py
+++ b/juniperlanding/ground/file.py
@@ -1,8 +1,7 @@
-"""Reading an operators' file: TOML and its includes to one map of key path to (value, origin), or all that is
-wrong with it at once.
+"""Reads an operators' file: TOML with includes, to one map from key path to (value, origin).
 
-`read` gives a `Told`, `merged` puts the platform's own values before it.  Only `FileError` comes out,
-whatever the bytes are."""
+`read` returns a `ParsedFile`, or raises `FileError` with all errors in the file at once; whatever the bytes
+are, it raises nothing else.  `effective.values` combines the result with the platform's values."""
 
 import difflib
 import math
@@ -15,20 +14,22 @@
 
 from juniperlanding.ground import sections
 from juniperlanding.ground.errors import Trouble
-from juniperlanding.ground.units import Quantity, decoded
+from juniperlanding.ground.units import Quantity, decode_quantity
 
-MOST_BYTES = 1 << 20  # of one file
-MOST_FILES, MOST_ERRORS = 32, 50
-# Tables of which there are several; includes add to them.
+MAX_FILE_BYTES = 1 << 20  # of one file
+MAX_FILES = 32  # with all includes
+MAX_ERRORS = 50  # that are reported
+# Lists of tables; those of included files are added to them.
 TABLES = {"kind": sections.Kind, "topic": sections.Topic, "endpoint": sections.Endpoint}
 LISTS = tuple(TABLES)
 DEFAULT = "default"
 
 
 class FileError(Trouble):
-    """The operators' file is refused; each fault is a line: FILE: KEY: found X, expected Y."""
+    """The operators' file is refused; each error is one line: FILE: KEY: found X, expected Y."""
 
-    code, remedy = "file-refused", "Mend these keys; `juniperlanding check FILE` looks again without a start."
+    code = "file-refused"
+    remedy = "Correct these keys; `juniperlanding check FILE` checks the file without starting."
 
     def __init__(self, lines):
         super().__init__("\n".join(lines))
@@ -43,19 +44,21 @@
     """The fleet's key file cannot be read, can be read by others, or is too short or too long."""
 
     code = "fleet-key-refused"
-    remedy = "Put the fleet's key there, 16 to 4096 bytes, of mode 0600 and owned by the dispatcher's user."
+    remedy = (
+        "Write the fleet's key to that file: 16 to 4096 bytes, mode 0600, owned by the dispatcher's user."
+    )
 
 
 @dataclass
-class Told:
-    """What a file says.  values: key path -> (value, origin); tables: list name -> [(Struct, origin)]."""
+class ParsedFile:
+    """Content of a file.  values: key path -> (value, origin); tables: list name -> [(Struct, origin)]."""
 
     values: dict = field(default_factory=dict)
     tables: dict = field(default_factory=dict)
 
 
 def fields(struct):
-    """name -> (type, default or NODEFAULT, its meta) for each key of a section."""
+    """name -> (type, default or NODEFAULT, description annotation) for each key of a section."""
     hints = typing.get_type_hints(struct, include_extras=True)
     found = {}
     for entry in msgspec.structs.fields(struct):
@@ -68,20 +71,23 @@
 
 
 def section_of(kind):
+    """The section class that a type is; None for any other type."""
     return kind if isinstance(kind, type) and issubclass(kind, sections.Section) else None
 
 
 class Reader:
-    """One reading of a file with its includes."""
+    """Reads one file with its includes and collects the errors."""
 
     def __init__(self, files, root, tables):
         self.files, self.root, self.tables = files, root, tables
-        self.told, self.errors = Told(tables={name: [] for name in tables}), []
-        self.open, self.count = [], 0  # open: the real paths from the first file down to this one
-        self.key_faults = 0  # of the errors, those of the fleet's key file
+        self.told, self.errors = ParsedFile(tables={name: [] for name in tables}), []
+        self.open_paths = []  # real paths from the first file down to the one being read
+        self.file_count = 0
+        self.key_file_errors = 0  # how many of the errors concern the fleet's key file
 
     def fault(self, place, key, found, expected):
-        if len(self.errors) < MOST_ERRORS:
+        """Add one error of a file (`place`); `key` is empty when it concerns the whole file."""
+        if len(self.errors) < MAX_ERRORS:
             self.errors.append(
                 f"{place}: {key}: found {found}, expected {expected}"
                 if key
@@ -89,16 +95,17 @@
             )
 
     def file(self, path):
-        real = os.path.realpath(path)
-        self.count += 1
-        if real in self.open:
-            return self.fault(path, "include", "a file that includes itself", "no circle")
-        if self.count > MOST_FILES:
-            return self.fault(path, "include", f"more than {MOST_FILES} files", "fewer")
+        """Read a file after the files that it includes, so that its own values replace theirs."""
+        real_path = os.path.realpath(path)
+        self.file_count += 1
+        if real_path in self.open_paths:
+            return self.fault(path, "include", "a file that includes itself", "no circular include")
+        if self.file_count > MAX_FILES:
+            return self.fault(path, "include", f"more than {MAX_FILES} files", "fewer")
         document = self.document(path)
         if document is None:
             return
-        self.open.append(real)
+        self.open_paths.append(real_path)
         include = document.pop("include", [])
         if not isinstance(include, list) or not all(
             isinstance(name, str) and name and "\0" not in name for name in include
@@ -108,39 +115,41 @@
         for name in include:
             self.file(os.path.join(os.path.dirname(path), name))
         self.section(path, "", self.root, document)
-        self.open.pop()
+        self.open_paths.pop()
 
     def document(self, path):
+        """The parsed TOML of one file; None after an error."""
         try:
-            raw = self.files.read(path, MOST_BYTES)
+            raw = self.files.read(path, MAX_FILE_BYTES)
         except (OSError, ValueError) as error:
-            said = getattr(error, "strerror", None) or str(error)
-            return self.fault(path, "", said.lower(), "a file that can be read")
+            message = getattr(error, "strerror", None) or str(error)
+            return self.fault(path, "", message.lower(), "a file that can be read")
         try:
             return tomllib.loads(raw.decode("utf-8"))
         except UnicodeDecodeError as error:
             self.fault(path, "", f"byte 0x{raw[error.start]:02x} at {error.start}", "UTF-8 text")
         except tomllib.TOMLDecodeError as error:
             self.fault(path, "", str(error), "TOML")
-        except (RecursionError, ValueError, OverflowError) as error:  # threats: tables too deep, huge figures
-            self.fault(path, "", type(error).__name__, "TOML of ordinary depth and figures")
+        except (RecursionError, ValueError, OverflowError) as error:  # tables nested too deep, huge numbers
+            self.fault(path, "", type(error).__name__, "TOML of ordinary depth and numbers")
 
     def section(self, path, prefix, struct, table):
+        """Check and store the keys of a table; `prefix` is the key path of the table."""
         known = fields(struct)
         for name, value in table.items():
             key = f"{prefix}{name}"
             if name not in known or name == "include":
-                near = difflib.get_close_matches(name, known, 1, 0.5)
+                nearest = difflib.get_close_matches(name, known, 1, 0.5)
                 self.fault(
                     path,
                     shown(key, 200).strip('"'),
                     "an unknown key",
-                    f"{near[0]!r}" if near else f"one of {', '.join(known)}",
+                    f"{nearest[0]!r}" if nearest else f"one of {', '.join(known)}",
                 )
                 continue
             kind = known[name][0]
             if name in self.tables and not prefix:
-                self.entries(path, name, value)
+                self.table_entries(path, name, value)
             elif section_of(kind):
                 if isinstance(value, dict):
                     self.section(path, f"{key}.", kind, value)
@@ -150,55 +159,59 @@
                 self.value(path, key, kind, value)
 
     def value(self, path, key, kind, value):
+        """Convert a value to its type and store it."""
         try:
-            if not finite(value):
-                raise ValueError("a finite figure")
-            self.told.values[key] = msgspec.convert(value, kind, dec_hook=decoded), path
+            if not is_finite(value):
+                raise ValueError("a finite number")
+            self.told.values[key] = msgspec.convert(value, kind, dec_hook=decode_quantity), path
         except (ValueError, TypeError, RecursionError) as error:  # msgspec's error is a ValueError
-            self.fault(path, key, shown(value), expectation(error, value))
+            self.fault(path, key, shown(value), expected_by_msgspec(error, value))
 
-    def entries(self, path, name, value):
+    def table_entries(self, path, name, value):
+        """Convert the tables of a list such as `[[kind]]` and add those without errors."""
         struct = self.tables[name]
         if not isinstance(value, list) or not all(isinstance(entry, dict) for entry in value):
             return self.fault(path, name, shown(value), f"tables under [[{name}]]")
         for number, entry in enumerate(value):
-            before, outer = len(self.errors), self.told.values
-            self.told.values = {}
+            errors_before, outer = len(self.errors), self.told.values
+            self.told.values = {}  # collects the values of this table
             self.section(path, f"{name}[{number}].", struct, entry)
             found, self.told.values = self.told.values, outer
-            entries = {key.rpartition(".")[2]: value for key, (value, _) in found.items()}
+            arguments = {key.rpartition(".")[2]: value for key, (value, _) in found.items()}
             for key, (_, default, _) in fields(struct).items():
                 if default is msgspec.NODEFAULT and key not in entry:
                     self.fault(path, f"{name}[{number}].{key}", "nothing", "this key, which has no default")
-            if len(self.errors) == before:
-                self.told.tables[name].append((struct(**entries), path))
+            if len(self.errors) == errors_before:
+                self.told.tables[name].append((struct(**arguments), path))
 
 
-def finite(value):
+def is_finite(value):
+    """Whether a value, or each value in a list or table, is no NaN or infinity."""
     if isinstance(value, float):
         return math.isfinite(value)
     if isinstance(value, (list, dict)):
-        return all(map(finite, value.values() if isinstance(value, dict) else value))
+        return all(map(is_finite, value.values() if isinstance(value, dict) else value))
     return True
 
 
 def shown(value, most=60):
+    """A value as error messages show it: on one line, printable, at most so many characters."""
     text = " ".join(repr(value).split()) if not isinstance(value, str) else '"' + value + '"'
     text = "".join(c if c.isprintable() else "?" for c in text)
     return text if len(text) <= most else text[:most] + "..."
 
 
-def expectation(error, value):
-    """msgspec's `Expected X, got Y - at Z` without its second and third part."""
+def expected_by_msgspec(error, value):
+    """X of msgspec's message `Expected X, got Y - at Z`."""
     text = str(error).partition(" - at ")[0].removeprefix("Expected ").partition(", got")[0]
     text = text.replace("`", "")
     return text or f"something other than {type(value).__name__}"
 
 
 def read(path, files, root=sections.File, tables=TABLES):
-    """What a file and its includes say.  Raises `FileError` with all faults at once; changes nothing.
+    """The content of a file and its includes.  Raises `FileError` with all errors at once; changes nothing.
 
-    Another `root` section with its own lists of tables reads another kind of file by the same rules."""
+    With another `root` section and its `tables`, another kind of file is read by the same rules."""
     reader = Reader(files, root, tables)
     reader.file(os.fspath(path))
     if not reader.errors and root is sections.File:
@@ -209,20 +222,20 @@
         for name in ("fleet.key", "policy.folder", "policy.file"):
             if key := reader.told.values.get(name):
                 reader.told.values[name] = os.path.join(base, key[0]), key[1]
-        together(reader, base)
+        check_across_keys(reader, base)
     if reader.errors:
-        raise (KeyRefused if reader.key_faults == len(reader.errors) else FileError)(reader.errors)
+        raise (KeyRefused if reader.key_file_errors == len(reader.errors) else FileError)(reader.errors)
     return reader.told
 
 
-def together(reader, base):
-    """Faults that show only where keys are seen together."""
+def check_across_keys(reader, base):
+    """Finds errors that concern more than one key."""
     told = reader.told
     names = {name: [entry.name for entry, _ in told.tables[name]] for name in ("kind", "topic")}
     names["endpoint"] = [entry.id for entry, _ in told.tables["endpoint"]]
     for name, found in names.items():
-        for twice in sorted({one for one in found if found.count(one) > 1}) if len(found) < 10_000 else ():
-            reader.fault(told.tables[name][0][1], name, f'"{twice}" twice', "each name once")
+        for entry in sorted({one for one in found if found.count(one) > 1}) if len(found) < 10_000 else ():
+            reader.fault(told.tables[name][0][1], name, f'"{entry}" twice', "each name once")
     topics(reader)
     zones = told.values.get("zones", ([], None))[0]
     for endpoint, origin in told.tables["endpoint"]:
@@ -232,17 +245,20 @@
             )
         if endpoint.zone is not None and endpoint.zone not in zones:
             reader.fault(origin, f"endpoint {endpoint.id}.zone", shown(endpoint.zone), "one of `zones`")
-        port(reader, origin, f"endpoint {endpoint.id}.address", endpoint.address)
+        check_port(reader, origin, f"endpoint {endpoint.id}.address", endpoint.address)
     for key in ("instance.listen", "instance.discovery", "fleet.address", "fleet.advertise"):
         if key in told.values:
-            port(reader, told.values[key][1], key, told.values[key][0])
-    fleet(reader)
-    policy(reader, base)
-    shards(reader)
+            check_port(reader, told.values[key][1], key, told.values[key][0])
+    check_fleet(reader)
+    check_policy(reader, base)
+    check_shards(reader)
     rank, count = (told.values.get(f"instance.{key}", (None, None))[0] for key in ("rank", "dispatchers"))
     if rank is not None and rank >= (count or 1):
         reader.fault(
-            told.values["instance.rank"][1], "instance.rank", rank, f"less than {count or 1} dispatchers"
+            told.values["instance.rank"][1],
+            "instance.rank",
+            rank,
+            f"less than {count or 1}, the number of dispatchers",
         )
     for key, least in (("limits.memory", 24 * 10**6), ("limits.disk", 16 << 10), ("limits.sockets", 48)):
         value, origin = told.values.get(key, (least, None))
@@ -252,7 +268,7 @@
 
 
 def topics(reader):
-    """Faults within a topic type; a policy's are looked at in the same way."""
+    """Checks the topic types; also used for those of a policy document."""
     for topic, origin in reader.told.tables["topic"]:
         key = f"topic {topic.name}"
         if not 0 < topic.objective <= topic.ttl:
@@ -268,8 +284,11 @@
             )
 
 
-def fleet(reader):
-    """Threat: half told, a fleet that an operator believes on, or an open socket that nobody asked for."""
+def check_fleet(reader):
+    """Checks the section `fleet`.
+
+    With an incomplete section an operator could believe that the fleet is enabled when it is not, or a socket
+    could be open that nobody asked for."""
     values = reader.told.values
     enabled, origin = values.get("fleet.enabled", (False, None))
     wanted, sites_origin = values.get("sites.enabled", (False, None))
@@ -278,50 +297,62 @@
             reader.fault(sites_origin, key, "nothing", "this key, since sites are enabled")
     if not enabled:
         for key in [key for key in values if key.startswith("fleet.") and key != "fleet.enabled"]:
-            reader.fault(values[key][1], key, shown(str(values[key][0])), "`enabled = true` beside it")
+            reader.fault(
+                values[key][1], key, shown(str(values[key][0])), "`enabled = true` in the same section"
+            )
         return
     for key in ("fleet.address", "fleet.key", "instance.name"):
         if key not in values:
             reader.fault(origin, key, "nothing", "this key, since the fleet is enabled")
     if values.get("fleet.address", ("",))[0].startswith("0.0.0.0:") and "fleet.advertise" not in values:
-        reader.fault(origin, "fleet.advertise", "nothing", "what others reach, since the address is any")
+        reader.fault(
+            origin,
+            "fleet.advertise",
+            "nothing",
+            "an address that others reach, since the listening address is any",
+        )
     for seed in values.get("fleet.seeds", ([], None))[0]:
-        port(reader, origin, "fleet.seeds", seed)
+        check_port(reader, origin, "fleet.seeds", seed)
     if "fleet.key" in values:
-        path, before = values["fleet.key"][0], len(reader.errors)
+        path, errors_before = values["fleet.key"][0], len(reader.errors)
         try:
-            found = os.stat(path)
-            mode = found.st_mode & 0o777
+            status = os.stat(path)
+            mode = status.st_mode & 0o777
             if mode & 0o077:
                 reader.fault(origin, "fleet.key", f"{shown(path)} of mode {mode:04o}", "a file of mode 0600")
-            elif not 16 <= found.st_size <= 4096:
-                reader.fault(origin, "fleet.key", f"{found.st_size} bytes", "16 to 4096 bytes")
+            elif not 16 <= status.st_size <= 4096:
+                reader.fault(origin, "fleet.key", f"{status.st_size} bytes", "16 to 4096 bytes")
         except OSError as error:
-            why = f"{shown(path)}: {error.strerror.lower()}"
-            reader.fault(origin, "fleet.key", why, "a file of mode 0600")
-        reader.key_faults = len(reader.errors) - before
+            reason = f"{shown(path)}: {error.strerror.lower()}"
+            reader.fault(origin, "fleet.key", reason, "a file of mode 0600")
+        reader.key_file_errors = len(reader.errors) - errors_before
+
 
+def check_policy(reader, base):
+    """Checks the section `policy`.
 
-def policy(reader, base):
-    """Threat: half told, or told otherwise at one member, two majorities that know nothing of each other."""
+    An incomplete section, or one that differs at one member, could lead to two majorities that know nothing
+    of each other."""
     values = reader.told.values
     enabled, origin = values.get("policy.enabled", (False, None))
     if not enabled:
         for key in [key for key in values if key.startswith("policy.") and key != "policy.enabled"]:
-            reader.fault(values[key][1], key, shown(str(values[key][0])), "`enabled = true` beside it")
+            reader.fault(
+                values[key][1], key, shown(str(values[key][0])), "`enabled = true` in the same section"
+            )
         return
     values.setdefault("policy.folder", (os.path.join(base, sections.Policy().folder), origin))
     if not values.get("fleet.enabled", (False,))[0]:
-        reader.fault(origin, "policy.enabled", "true", "`[fleet]` with `enabled = true` beside it")
+        reader.fault(origin, "policy.enabled", "true", "`[fleet]` with `enabled = true`")
     voters = [voter.rpartition("@")[::2] for voter in values.get("policy.voters", ([], None))[0]]
     if len(voters) not in (3, 5, 7):
         reader.fault(origin, "policy.voters", f"{len(voters)} voters", "3, 5 or 7")
-    for at, what in enumerate(("name", "address")):
-        if len({voter[at] for voter in voters}) < len(voters):
+    for position, what in enumerate(("name", "address")):
+        if len({voter[position] for voter in voters}) < len(voters):
             reader.fault(origin, "policy.voters", f"one {what} twice", f"each {what} once")
     own = [values[key][0] for key in ("fleet.advertise", "fleet.address") if key in values][:1]
     for name, address in voters:
-        port(reader, origin, "policy.voters", address)
+        check_port(reader, origin, "policy.voters", address)
         if name == values.get("instance.name", ("",))[0] and own and address != own[0]:
             reader.fault(origin, "policy.voters", shown(f"{name}@{address}"), f"our own address {own[0]}")
     licence, origin = values.get("policy.licence", (sections.Policy().licence, origin))
@@ -329,16 +360,20 @@
         reader.fault(origin, "policy.licence", licence, "500ms to 60s")
 
 
-def shards(reader):
-    """Threat: half told, a ledger that an operator believes split."""
+def check_shards(reader):
+    """Checks the section `shards`.
+
+    With an incomplete section an operator could believe that the ledger is split when it is not."""
     values = reader.told.values
     enabled, origin = values.get("shards.enabled", (False, None))
     if not enabled:
         for key in [key for key in values if key.startswith("shards.") and key != "shards.enabled"]:
-            reader.fault(values[key][1], key, shown(str(values[key][0])), "`enabled = true` beside it")
+            reader.fault(
+                values[key][1], key, shown(str(values[key][0])), "`enabled = true` in the same section"
+            )
         return
     if not values.get("fleet.enabled", (False,))[0]:
-        reader.fault(origin, "shards.enabled", "true", "`[fleet]` with `enabled = true` beside it")
+        reader.fault(origin, "shards.enabled", "true", "`[fleet]` with `enabled = true`")
     most, least = (values.get(f"shards.{key}", (None,))[0] for key in ("most", "least"))
     if most is not None and most < 64 << 10:
         reader.fault(origin, "shards.most", most, "at least 64KiB")
@@ -346,14 +381,15 @@
         reader.fault(origin, "shards.least", least, "at most half of `shards.most`")
 
 
-def port(reader, origin, key, address):
+def check_port(reader, origin, key, address):
+    """Checks the range of the port and of each part of an IPv4 address."""
     host, _, number = address.rpartition(":")
     if int(number) > 65535 or any(int(part) > 255 for part in host.split(".")):
         reader.fault(origin, key, shown(address), "an IPv4 address and a port up to 65535")
 
 
 def defaults():
-    """key path -> default, for every key that is not within a list of tables."""
+    """key path -> default, for every key outside the lists of tables."""
     found = {}
     for name, (kind, default, _) in fields(sections.File).items():
         if section_of(kind):
@@ -364,7 +400,7 @@
 
 
 def setting_names():
-    """key path -> the decision module's name, for keys that it is handed."""
+    """key path -> name of the setting, for the keys that are passed to the decision module."""
     return {
         f"{name}.{key}": meta.extra["setting"]
         for name, (kind, _, _) in fields(sections.File).items()
@@ -375,13 +411,13 @@
 
 
 def plain_value(value):
-    """A value as a module or a JSON reader takes it."""
+    """A value as the decision module and JSON take it: quantities are plain integers."""
     return int(value) if isinstance(value, Quantity) else value
 
 
 def topic(entry):
-    """A topic type under the module's names; a window that is not there stays out."""
-    plain = {
+    """A topic type as a setting of the decision module; without a window the key is left out."""
+    setting = {
         "name": entry.name,
         "kind": entry.kind,
         "objective": int(entry.objective),
@@ -392,4 +428,4 @@
         "ordered": entry.ordered,
         "fades": entry.fades,
     }
-    return plain | ({"window": int(entry.window)} if entry.window else {})
+    return setting | ({"window": int(entry.window)} if entry.window else {})
--- a/juniperlanding/ground/units.py
+++ b/juniperlanding/ground/units.py
@@ -1,6 +1,7 @@
-"""Quantities as a person writes them: "250ms", "1h30m", "64MiB"; inside they are whole numbers.
+"""Quantities as text with units: "250ms", "1h30m", "64MiB"; internally they are whole numbers.
 
-No float passes through: a figure is read as a decimal fraction and must come out whole."""
+No floats are used, so nothing is rounded: a number is read as a decimal fraction, and the result in the base
+unit has to be whole."""
 
 import re
 from fractions import Fraction
@@ -16,40 +17,41 @@
     "d": 86400 * 10**9,
 }
 SIZES = {"B": 1, "kB": 10**3, "MB": 10**6, "GB": 10**9, "KiB": 2**10, "MiB": 2**20, "GiB": 2**30}
-LONGEST, LARGEST = 400 * TIMES["d"], 1 << 44
-PART = re.compile(r"(\d{1,20}(?:\.\d{1,9})?)\s*([A-Za-z]+)")
+MAX_DURATION = 400 * TIMES["d"]
+MAX_SIZE = 1 << 44
+TERM = re.compile(r"(\d{1,20}(?:\.\d{1,9})?)\s*([A-Za-z]+)")
 
 
 class Quantity(int):
-    """A whole number of the base unit; subclasses name the units, the word for them and the largest
-    figure."""
+    """A whole number of the base unit; subclasses define the units, the texts for errors and the maximum."""
 
-    units, word, largest = {}, "", 0
+    units, description, maximum = {}, "", 0
 
     @classmethod
     def parse(cls, text):
-        """From text such as "1.5s"; ValueError says what was expected."""
-        expected = f"{cls.word} such as {cls.example}"
+        """Parse text such as "1.5s"; the text of the ValueError says what was expected."""
+        expected = f"{cls.description} such as {cls.example}"
         if not isinstance(text, str):
             raise ValueError(expected)
-        total, at = Fraction(0), 0
-        rest = text.strip()
-        while part := PART.match(rest, at):
-            figure, unit = part.groups()
+        total = Fraction(0)
+        position = 0
+        stripped = text.strip()
+        while term := TERM.match(stripped, position):
+            number, unit = term.groups()
             if unit not in cls.units:
                 raise ValueError(f"{expected}; units are {', '.join(cls.units)}")
-            total += Fraction(figure) * cls.units[unit]
-            at = part.end()
-        if not rest or at != len(rest):
+            total += Fraction(number) * cls.units[unit]
+            position = term.end()
+        if not stripped or position != len(stripped):
             raise ValueError(expected)
         if total.denominator != 1:
             raise ValueError(f"{expected}, in whole {next(iter(cls.units))}")
-        if total > cls.largest:
-            raise ValueError(f"{expected}, at most {cls(cls.largest)}")
+        if total > cls.maximum:
+            raise ValueError(f"{expected}, at most {cls(cls.maximum)}")
         return cls(int(total))
 
     def __str__(self):
-        """The shortest whole figure in one unit: "1500ms", "2s"."""
+        """A whole number of the largest unit that divides it: "1500ms", "2s"."""
         unit, size = next(
             (
                 (unit, size)
@@ -64,15 +66,15 @@
 
 
 class Duration(Quantity):
-    units, word, example, largest = TIMES, "a duration", '"250ms"', LONGEST
+    units, description, example, maximum = TIMES, "a duration", '"250ms"', MAX_DURATION
 
 
 class Size(Quantity):
-    units, word, example, largest = SIZES, "a size", '"64MiB"', LARGEST
+    units, description, example, maximum = SIZES, "a size", '"64MiB"', MAX_SIZE
 
 
-def decoded(kind, value):
-    """msgspec's hook for these types."""
+def decode_quantity(kind, value):
+    """The `dec_hook` of msgspec for these types."""
     if issubclass(kind, Quantity):
         return kind.parse(value)
     raise NotImplementedError(kind)
