--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""The wall clock is stepped between two processes: deadlines and windows stay spans of real time."""
+"""Wall clock steps between two processes: deadlines and windows remain spans of real time."""
 
 import time
 
@@ -19,11 +19,11 @@
 
 HOUR = 3600 * SEC
 NAMES = ["a0", "a1", "a2"]
-NOTICE_WITHIN = 0.35  # seconds after its TTL in which a notice is due
+NOTICE_WITHIN = 0.35  # seconds after the TTL within which the outcome notice has to arrive
 
 
 class SteppedWallClock:
-    """`time.time_ns` of this process, ahead of the machine's by `ahead` nanoseconds."""
+    """Replaces `time.time_ns` in this process; it is `ahead` nanoseconds ahead of the machine's."""
 
     def __init__(self, monkeypatch):
         self.ahead = 0
@@ -31,7 +31,7 @@
         monkeypatch.setattr(time, "time_ns", lambda: machine_time() + self.ahead)
 
     def step(self, site, nanoseconds):
-        """Step the clock between two processes; the next one reads it anew."""
+        """Step the clock between two processes; the next process reads it again."""
         self.ahead += nanoseconds
         site.world = system()
 
@@ -78,7 +78,7 @@
 
 
 def test_a_window_for_repeats_is_a_span_of_real_time_over_a_stepped_restart(site, wall_clock):
-    """It may still be repeated once within the window, wherever the wall clock stands."""
+    """Within the window a notification may still be repeated once, whatever the wall clock shows."""
     topics = [
         topic | {"repeat_window_ns": SEC} if topic is PAY else topic for topic in WIRE["request_classes"]
     ]
@@ -121,11 +121,11 @@
     site.run(scene, lambda *message: None)
 
 
-# ---- the clock and the ledger alone
+# ---- the clock and the ledger, without a whole dispatcher
 
 
 class Machine(Clock):
-    """A clock over restarts of the process and of the machine."""
+    """A clock whose boot identifier, steady clock and wall clock are set by the test."""
 
     def __init__(self, boot_id="boot 1", steady=0, wall=HOUR):
         self.boot_id, self.at, self.wall_at = boot_id, steady, wall
@@ -138,8 +138,8 @@
         return self.wall_at
 
 
-def written(folder, clock, ttl=20 * SEC):
-    """A ledger that owes `a` untried and `b` pushed, both taken on now, and remembers `c`."""
+def write_ledger(folder, clock, ttl=20 * SEC):
+    """Write a ledger in which `a` is pending without a push, `b` is pending after one, and `c` is over."""
     ledger = Ledger(folder, 1 << 20, clock=clock)
     for name in "abc":
         ledger.take(name, "news", 7, clock.now() + ttl, "", b"")
@@ -150,7 +150,7 @@
 
 
 def test_the_next_process_goes_on_with_the_clock_of_the_file(tmp_path):
-    written(tmp_path, Machine(steady=5 * SEC))
+    write_ledger(tmp_path, Machine(steady=5 * SEC))
     clock = Machine(steady=8 * SEC, wall=9 * HOUR)
     ledger = Ledger(tmp_path, 1 << 20, clock=clock)
     left = {name: owed.ttl_at - clock.now() for name, owed in ledger.owed.items()}
@@ -162,9 +162,9 @@
 @pytest.mark.parametrize("wall", [0, HOUR, 9 * HOUR])
 @pytest.mark.parametrize("boot_id, steady", [("boot 2", 8 * SEC), ("boot 1", SEC), ("", 8 * SEC)])
 def test_after_the_machine_came_up_again_each_keeps_the_time_it_had_left(tmp_path, boot_id, steady, wall):
-    """Or where that cannot be told.  A window for repeats counts as over."""
-    written(tmp_path, Machine(steady=5 * SEC))
-    for _ in range(2):  # and the times are moved once only
+    """The same holds where a reboot cannot be detected.  A window for repeats counts as over then."""
+    write_ledger(tmp_path, Machine(steady=5 * SEC))
+    for _ in range(2):  # the second start must not move the times again
         clock = Machine(boot_id, steady, wall)
         ledger = Ledger(tmp_path, 1 << 20, clock=clock)
         assert {owed.ttl_at - clock.now() for owed in ledger.owed.values()} == {20 * SEC}
@@ -173,8 +173,8 @@
 
 
 def test_what_is_owed_over_machine_starts_is_not_kept_for_ever(tmp_path):
-    """Each start takes off what passed until the last reading on file."""
-    written(tmp_path, Machine())
+    """Each start subtracts the time that passed until the last clock reading in the ledger."""
+    write_ledger(tmp_path, Machine())
     for start in range(2, 6):
         clock = Machine(f"boot {start}")
         ledger = Ledger(tmp_path, 1 << 20, clock=clock)
@@ -187,7 +187,7 @@
 
 
 def test_a_ledger_of_an_earlier_version_goes_by_the_wall_clock(tmp_path):
-    written(tmp_path, NoReadings(steady=5 * SEC))
+    write_ledger(tmp_path, MachineWithoutStamp(steady=5 * SEC))
     before = (tmp_path / "ledger").read_bytes()
     assert b'["c"' not in before
     clock = Machine(steady=8 * SEC, wall=HOUR + 3 * SEC)
@@ -195,8 +195,8 @@
     assert {owed.ttl_at - clock.now() for owed in ledger.owed.values()} == {17 * SEC}
 
 
-class NoReadings(Machine):
-    """Of a process whose version writes no readings."""
+class MachineWithoutStamp(Machine):
+    """The clock of a version that writes no clock readings to the ledger."""
 
     def stamp(self):
         return None
@@ -208,15 +208,15 @@
     ledger.take("a", "news", 7, clock.now() + 20 * SEC, "", b"")
     ledger.flush()
     ledger.close()
-    for later, left in ((Machine(steady=8 * SEC, wall=0), 17), (Machine("boot 2", wall=0), 17)):
-        again = Sharded(str(tmp_path), 1 << 20, clock=later)
-        assert again.owed["a"].ttl_at - later.now() == left * SEC
-        again.close()
+    for later_clock, seconds_left in ((Machine(steady=8 * SEC, wall=0), 17), (Machine("boot 2", wall=0), 17)):
+        reopened = Sharded(str(tmp_path), 1 << 20, clock=later_clock)
+        assert reopened.owed["a"].ttl_at - later_clock.now() == seconds_left * SEC
+        reopened.close()
 
 
 def test_turns_after_an_outage_are_of_the_time_that_the_machines_agree_on():
-    """Ours was started an hour off, and its machine's clock was set right since."""
-    trials = []
+    """A dispatcher that started with a wall clock one hour off, corrected since, probes at the same time."""
+    probe_times = []
     for ahead in (0, HOUR + SEC // 7):
         bed = Bed()
         bed.at.me.rank, bed.at.me.dispatchers = 3, 200
@@ -225,8 +225,8 @@
         endpoint = bed.endpoint()
         endpoint.down, endpoint.run = True, 9
         bed.at.health.aside(endpoint)
-        trials.append(endpoint.trial_at + ahead)
-    assert trials[0] == trials[1]
+        probe_times.append(endpoint.trial_at + ahead)
+    assert probe_times[0] == probe_times[1]
 
 
 def test_a_step_of_the_wall_clock_is_told_to_the_module(site, wall_clock):
@@ -242,15 +242,15 @@
 
 
 def test_a_file_that_two_clocks_wrote_is_read_by_both(tmp_path):
-    """The second process could not rewrite it, and wrote on behind the first one's records."""
-    written(tmp_path, Machine(steady=5 * SEC))
+    """The second process could not rewrite the ledger and appended to the records of the first one."""
+    write_ledger(tmp_path, Machine(steady=5 * SEC))
     second = Machine("boot 2", steady=SEC, wall=0)
     with (tmp_path / "ledger").open("ab") as file:
         file.write(line(["c", second.boot_id, second.epoch, second.now()]))
         file.write(line(["t", "e", "news", 7, second.now() + 9 * SEC, "", ""]))
     third = Machine("boot 2", steady=3 * SEC, wall=HOUR)
-    owed = Ledger(tmp_path, 1 << 20, clock=third).owed
-    assert {name: one.ttl_at - third.now() for name, one in owed.items()} == {
+    pending = Ledger(tmp_path, 1 << 20, clock=third).owed
+    assert {name: ntf.ttl_at - third.now() for name, ntf in pending.items()} == {
         "a": 18 * SEC,
         "b": 18 * SEC,
         "e": 7 * SEC,
@@ -258,7 +258,7 @@
 
 
 def test_a_process_that_takes_over_goes_on_with_the_clock_though_nothing_stands_on_file(site, wall_clock):
-    """What the module knows is handed over in times of the first one's clock."""
+    """The state of the decision module is handed over in times of the first process's clock."""
 
     async def scene(site):
         old = await first_process(site)
