--- a/juniperlanding/__init__.py
+++ b/juniperlanding/__init__.py
@@ -1,3 +1,3 @@
-"""juniperlanding: a relay that hands notifications on to destinations that nobody here controls."""
+"""juniperlanding: a relay that delivers notifications to destinations that it does not control."""
 
 VERSION = "0.3.0"
--- a/juniperlanding/cli/__init__.py
+++ b/juniperlanding/cli/__init__.py
@@ -1,4 +1,4 @@
-"""juniperlanding: hands notifications on to destinations nobody here controls.
+"""juniperlanding: relays notifications to destinations that it does not control.
 
 Usage:
   juniperlanding COMMAND [ARGS...]
@@ -7,14 +7,14 @@
 Commands:
 {commands}
 
-`juniperlanding COMMAND --help` tells more of each.
+`juniperlanding COMMAND --help` describes one command.
 
-What went wrong is told as `CODE: WHAT. Remedy: WHAT TO DO`; `juniperlanding reference --errors` lists all.
+Errors are reported as `CODE: WHAT. Remedy: WHAT TO DO`; `juniperlanding reference --errors` lists them all.
 
 Exit codes:
-  0    done
-  1    the thing asked about is not well
-  2    wrong usage, or a configuration that cannot be used
+  0    success
+  1    the run failed, or found a problem
+  2    wrong usage, or an invalid configuration
   130  interrupted
 """
 
@@ -26,23 +26,26 @@
 
 COMMANDS = {
     "serve": ("serve", "run one dispatcher"),
-    "try": ("try_", "run the main job on an embedded world"),
-    "check": ("check", "check an operators' file, or show what is in force"),
+    "try": ("try_", "run a dispatcher under load against stand-ins"),
+    "check": ("check", "check an operators' file, or show the values in force"),
     "init": ("init", "write an operators' file with every key explained"),
-    "owed": ("owed", "list what a state folder still owes, without changing it"),
-    "emulate": ("emulate", "run a scenario in simulated time, with the watch over it"),
-    "soak": ("soak", "play a fault soak of real processes on loopback, and judge its history"),
-    "reference": ("reference", "print the page on every key of the operators' file, or on every error"),
-    "completion": ("completion", "print the completion for bash"),
+    "owed": ("owed", "list the pending notifications of a state folder, without changing it"),
+    "emulate": ("emulate", "run a scenario in simulated time and check its invariants"),
+    "soak": ("soak", "run a randomized soak test of real processes on loopback"),
+    "reference": ("reference", "print the reference of the operators' file or of the errors"),
+    "completion": ("completion", "print the completion script for bash"),
     "version": ("version", "print the version"),
 }
-DONE, UNWELL, USAGE, INTERRUPTED = 0, 1, 2, 130
+EXIT_OK = 0
+EXIT_FAILED = 1
+EXIT_USAGE = 2
+EXIT_INTERRUPTED = 130
 
 
 class Refused(Exception):
-    """What a command cannot do; its text is one line for the person at the keyboard."""
+    """A command cannot run or has failed; each line of the text goes to standard error."""
 
-    def __init__(self, text, code=USAGE):
+    def __init__(self, text, code=EXIT_USAGE):
         super().__init__(text)
         self.code = code
 
@@ -56,33 +59,35 @@
     return importlib.import_module(f"juniperlanding.cli.{COMMANDS[name][0]}")
 
 
-def say(lines, code):
+def print_error(lines, code):
+    """Print the lines to standard error; return `code` unchanged, for the caller to return in turn."""
     for line in lines:
         print(f"juniperlanding: {line}", file=sys.stderr)
     return code
 
 
 def main(argv=None):
-    """Run one command and tell its exit code; docopt itself exits for wrong usage and for --help."""
+    """Run one command and return its exit code; docopt raises SystemExit itself for --help."""
     argv = sys.argv[1:] if argv is None else argv
     import docopt
 
     try:
-        asked = docopt.docopt(usage(), argv, options_first=True)
-        name = asked["COMMAND"]
+        args = docopt.docopt(usage(), argv, options_first=True)
+        name = args["COMMAND"]
         if name not in COMMANDS:
             raise Refused(f"no command {name!r}; one of {', '.join(COMMANDS)}")
         command = load(name)
-        return command.run(docopt.docopt(command.__doc__, [name, *asked["ARGS"]])) or DONE
+        return command.run(docopt.docopt(command.__doc__, [name, *args["ARGS"]])) or EXIT_OK
     except docopt.DocoptExit as error:
         print(error, file=sys.stderr)
-        return USAGE
+        return EXIT_USAGE
     except Refused as error:
-        return say(str(error).splitlines(), error.code)
+        return print_error(str(error).splitlines(), error.code)
     except Trouble as error:
-        return say(error.told, USAGE)
+        return print_error(error.told, EXIT_USAGE)
     except KeyboardInterrupt:
-        return INTERRUPTED
+        return EXIT_INTERRUPTED
     except BrokenPipeError:
-        os.dup2(os.open(os.devnull, os.O_WRONLY), 1)  # threat: a reader that left, and a traceback at exit
-        return DONE
+        # The reader of standard output has gone; without this the flush at exit would print a traceback.
+        os.dup2(os.open(os.devnull, os.O_WRONLY), 1)
+        return EXIT_OK
--- a/juniperlanding/cli/completion.py
+++ b/juniperlanding/cli/completion.py
@@ -1,4 +1,4 @@
-"""Print the completion for bash.
+"""Print the completion script for bash.
 
 Usage:
   juniperlanding completion
@@ -30,10 +30,10 @@
 
 
 def options(name):
-    """The long options in a command's usage text."""
+    """The long options in a command's help text."""
     return sorted(set(re.findall(r"--[a-z][a-z-]+", load(name).__doc__)) - {"--help"})
 
 
-def run(asked):
+def run(args):
     cases = "\n".join(f'        {name}) options="{" ".join(options(name))}" ;;' for name in COMMANDS)
     print(SCRIPT.format(commands=" ".join(COMMANDS), cases=cases), end="")
--- a/juniperlanding/cli/init.py
+++ b/juniperlanding/cli/init.py
@@ -4,7 +4,7 @@
   juniperlanding init [--force] FILE
 
 Options:
-  --force  put it in the place of a file that is there
+  --force  replace an existing file
 """
 
 import os
@@ -12,20 +12,21 @@
 from juniperlanding.cli import Refused
 
 
-def run(asked):
+def run(args):
     from juniperlanding.ground import reference
 
-    path, fresh = asked["FILE"], f"{asked['FILE']}.{os.getpid()}.new"
+    path = args["FILE"]
+    temporary = f"{args['FILE']}.{os.getpid()}.new"
     try:
-        if os.path.lexists(path) and not asked["--force"]:
-            raise Refused(f"{path}: there already; --force puts a new one in its place")
-        # Threat: half a file where a whole one stood; it is written beside and put in place in one step.
-        with open(fresh, "x", encoding="utf-8") as file:
+        if os.path.lexists(path) and not args["--force"]:
+            raise Refused(f"{path}: already exists; --force replaces it")
+        # Written beside the target and renamed, so that a failed write cannot leave half a file in its place.
+        with open(temporary, "x", encoding="utf-8") as file:
             file.write(reference.template())
         try:
-            os.rename(fresh, path)
+            os.rename(temporary, path)
         except OSError:
-            os.unlink(fresh)
+            os.unlink(temporary)
             raise
     except OSError as error:
         raise Refused(f"{path}: {(error.strerror or str(error)).lower()}") from None
--- a/juniperlanding/cli/reference.py
+++ b/juniperlanding/cli/reference.py
@@ -1,11 +1,11 @@
-"""Print the page on every key of the operators' file, a file with every key explained, or the page of errors.
+"""Print the reference of the operators' file, a file with every key explained, or the reference of errors.
 
 Usage:
   juniperlanding reference [--template | --errors]
 
 Options:
-  --template  the file that `init` writes, instead of the page
-  --errors    docs/errors.md: every code, what happened, and what an operator can do
+  --template  print the file that `init` writes
+  --errors    print docs/errors.md: every error code, what happened, and what to do about it
 """
 
 import importlib
@@ -13,49 +13,50 @@
 
 import juniperlanding
 
-RIGS = ("emulator", "standins", "processes", "drill", "__main__")
+# Not part of a running dispatcher; not searched for error classes.
+NOT_IN_SERVICE = ("emulator", "standins", "processes", "drill", "__main__")
 
 
-def run(asked):
-    if asked["--errors"]:
-        return print(errors(), end="")
+def run(args):
+    if args["--errors"]:
+        return print(errors_page(), end="")
     from juniperlanding.ground import reference
 
-    print(reference.template() if asked["--template"] else reference.page(), end="")
+    print(reference.template() if args["--template"] else reference.page(), end="")
 
 
-def errors():
-    """The page, made from every class with a code that a dispatcher has, those of parts turned off too."""
+def errors_page():
+    """Return the page, made from every error class with a code, including those of disabled features."""
     from juniperlanding.ground.errors import known
 
-    for found in pkgutil.walk_packages(juniperlanding.__path__, "juniperlanding."):
-        if found.name.split(".")[1] not in RIGS:
-            importlib.import_module(found.name)
+    for module in pkgutil.walk_packages(juniperlanding.__path__, "juniperlanding."):
+        if module.name.split(".")[1] not in NOT_IN_SERVICE:
+            importlib.import_module(module.name)
     rows = [
         f"| `{kind.code}` | {' '.join(kind.__doc__.split())} | {kind.remedy} | "
         f"`{kind.__module__.removeprefix('juniperlanding.')}.{kind.__name__}` |"
         for kind in known()
     ]
-    return "\n".join([HEAD, *rows, ""])
+    return "\n".join([ERRORS_HEADER, *rows, ""])
 
 
-HEAD = """# Errors that staff meet
+ERRORS_HEADER = """# Errors reported to operators
 
 Made by `juniperlanding reference --errors > docs/errors.md` from the classes that derive from `Trouble` in
 `juniperlanding/ground/errors.py`.
 
-A code is never changed once it is released; the words beside it may be. It stands
+A code never changes once it is released; the text beside it may. It appears
 
-- in the text of a command that ends: `juniperlanding: CODE: WHAT. Remedy: WHAT TO DO` on standard error, with
-  exit code 2;
-- in the log, as `code=` and `remedy=` on the one line that tells the change of mode, and not again while it
-  lasts;
-- at the operators' door, after the reason: `NAK WHAT code=CODE remedy=...`. `NAK starting`, `draining` and
-  `replaced` tell a state, and have none;
+- in the error message of a command that fails: `juniperlanding: CODE: WHAT. Remedy: WHAT TO DO` on standard
+  error, with exit code 2;
+- in the log, as `code=` and `remedy=` on the one line that reports the change of mode, and not again while
+  the condition lasts;
+- at the admin port, after the reason: `NAK WHAT code=CODE remedy=...`. `NAK starting`, `draining` and
+  `replaced` report a state, and have no code;
 - in `juniperlanding check --json`, as `code` and `remedy`.
 
-What no operator can act on (noise from a stranger, a spoilt answer) is a counter or a figure on a line, and
-not here.
+Faults that no operator can act on (an invalid message from an unknown sender, a malformed response) are
+counted or reported as a value on a log line, and are not listed here.
 
 | code | what happened | what to do | class |
 | --- | --- | --- | --- |"""
--- a/juniperlanding/cli/serve.py
+++ b/juniperlanding/cli/serve.py
@@ -4,34 +4,34 @@
   juniperlanding serve [FILE]
 
 FILE is an operators' file; the platform's own values (EDGE_CONFIG, EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY,
-EDGE_STATE) go before it.  Signals: SIGTERM and SIGINT drain, SIGHUP reads the files again, SIGUSR1 logs the
-counters.
+EDGE_STATE) take precedence over it.  Signals: SIGTERM and SIGINT drain, SIGHUP reads the files again,
+SIGUSR1 logs the counters.
 """
 
 import os
 import signal
 from functools import partial
 
-from juniperlanding.cli import DONE, UNWELL
+from juniperlanding.cli import EXIT_FAILED, EXIT_OK
 
 
-def reader(path, environ, files):
-    """A function that reads the configuration anew each time it is called."""
+def config_reader(path, environ, files):
+    """Return a function that reads the configuration anew each time it is called."""
     from juniperlanding.net import config
 
     def read(without=()):
-        told = None
+        operators = None
         if path:
             from juniperlanding.ground import file
 
-            told = config.from_operators(file.read(path, files))
-        return config.read({name: environ[name] for name in environ.keys() - set(without)}, files, told)
+            operators = config.from_operators(file.read(path, files))
+        return config.read({name: environ[name] for name in environ.keys() - set(without)}, files, operators)
 
     return read
 
 
-def told(read):
-    """The configuration, or a `Trouble` with what is wrong with it."""
+def load_config(read):
+    """Return the configuration, or raise a `Trouble` that says what is wrong with it."""
     try:
         return read()
     except Exception as error:
@@ -40,28 +40,32 @@
         raise config.trouble(error) from None
 
 
-def run(asked):
-    early = []  # threats: a SIGHUP before `serve` listens for it ends us, or the file was read just before it
-    signal.signal(signal.SIGHUP, lambda *which: early.append(which))
+def run(args):
+    # A SIGHUP that arrives before `serve` handles signals must not end the process.  It is kept for a later
+    # reload, since the file may have been read just before it was replaced.
+    early_hangups = []
+    signal.signal(signal.SIGHUP, lambda *which: early_hangups.append(which))
     try:
-        return started(asked["FILE"], early)
+        return start(args["FILE"], early_hangups)
     finally:
-        signal.signal(signal.SIGHUP, signal.SIG_IGN)  # threat: it ends us while the interpreter ends
+        # Its default action would otherwise end the process while the interpreter shuts down.
+        signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
-def started(path, early):
+def start(path, early_hangups):
     from juniperlanding.ground.seams import system
 
-    world = system()
-    read = reader(path, os.environ, world.files)
-    config = told(read)
+    interfaces = system()
+    read = config_reader(path, os.environ, interfaces.files)
+    config = load_config(read)
     import trio
 
-    # Threat: the environment is as old as the process; a replaced file's discovery goes before it.
-    return trio.run(serve, config, world, partial(read, ("EDGE_DISCOVERY",)), early)
+    # The environment dates from the start of the process, and a replaced file is newer: a reload takes
+    # `discovery` from the file, not from EDGE_DISCOVERY.
+    return trio.run(serve, config, interfaces, partial(read, ("EDGE_DISCOVERY",)), early_hangups)
 
 
-async def serve(config, world, read, early):
+async def serve(config, interfaces, read, early_hangups):
     import trio
 
     from juniperlanding.ground.errors import system
@@ -70,28 +74,29 @@
     from juniperlanding.net.succession import begin
 
     try:
-        node = await begin(lambda offer: Node(config, world, offer=offer), config, world)
+        node = await begin(lambda offer: Node(config, interfaces, offer=offer), config, interfaces)
     except OSError as error:
         raise system(error, config.state) from None
     never_wait()
-    stopping, ended = False, []
+    stopping = False
+    close_results = []
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP) as signals:
         async with trio.open_nursery() as nursery:
             await nursery.start(node.run)
-            if early:
+            if early_hangups:
                 node.reload(read)
             async for number in signals:
-                if number == signal.SIGHUP:  # while draining too: notices still go out
+                if number == signal.SIGHUP:  # also while draining: outcome notices are still sent
                     node.reload(read)
                 elif number == signal.SIGUSR1:
                     node.log("counters", **node.counters)
                 elif not stopping:
                     stopping = True
-                    nursery.start_soon(stop, node, nursery.cancel_scope, ended)
-    return DONE if all(ended) else UNWELL
+                    nursery.start_soon(stop, node, nursery.cancel_scope, close_results)
+    return EXIT_OK if all(close_results) else EXIT_FAILED
 
 
-async def stop(node, scope, ended):
+async def stop(node, scope, close_results):
     await node.drain()
-    ended.append(node.close())
+    close_results.append(node.close())
     scope.cancel()
--- a/juniperlanding/cli/try_.py
+++ b/juniperlanding/cli/try_.py
@@ -1,24 +1,25 @@
-"""Run the main job on an embedded world: one real dispatcher among stand-ins, nothing to configure.
+"""Run a real dispatcher under load against stand-in clients, endpoints and platform; nothing to configure.
 
 Usage:
   juniperlanding try [--for TIME] [--rate RATE] [--seed SEED] [--trouble NAME] [--json FILE] [--keep FOLDER]
                      [--dispatchers N] [--changes K] [--sites N]
 
 Options:
-  --for TIME      how long clients come [default: 10s]
-  --rate RATE     notifications a second, as "50/s" [default: 50/s]
-  --seed SEED     what all chance starts from [default: 1]
+  --for TIME      how long clients submit notifications [default: 10s]
+  --rate RATE     notifications per second, as "50/s" [default: 50/s]
+  --seed SEED     seed of all random choices [default: 1]
   --trouble NAME  none, silence, refusal, kill, replace or discovery [default: none]
-  --dispatchers N  N processes with a view of each other, and faults between them: --trouble none, crash, cut,
-                  cut-one-way, island, lossy, slow-peer, rolling, flap or mixed; it lasts as long as it takes;
-                  or policy, policy-cut, policy-kill, policy-mixed: changes of policy under faults, with
-                  their history in history.sqlite of the kept folder, or beside the JSON file
-  --changes K     so many changes of policy [default: 12]
-  --sites N       with --trouble region: so many sites, each lost once; the rate follows from the seed
+  --dispatchers N  run a fleet of N processes, with faults between them: --trouble none, crash, cut,
+                  cut-one-way, island, lossy, slow-peer, rolling, flap or mixed; the fault, not --for, sets
+                  the length of the run; or policy, policy-cut, policy-kill, policy-mixed: policy changes
+                  under faults, with their history in history.sqlite of the kept folder, or beside the JSON
+                  file
+  --changes K     number of policy changes [default: 12]
+  --sites N       with --trouble region: number of sites, each lost once; the seed sets the rate
   --json FILE     write all figures there, "-" for standard output
-  --keep FOLDER   keep configuration, state and log there; else they go with the run
+  --keep FOLDER   keep configuration, state and log there; they are deleted otherwise
 
-Exit code 1 if a notification had no final answer, two of them, or a once-only one ran twice.
+Exit code 1 if a notification got no final outcome or two, or if a once-only notification ran twice.
 """
 
 import json
@@ -28,7 +29,7 @@
 import tempfile
 from pathlib import Path
 
-from juniperlanding.cli import UNWELL, Refused
+from juniperlanding.cli import EXIT_FAILED, Refused
 
 COLUMNS = {
     "name": "",
@@ -45,62 +46,62 @@
 }
 
 
-def plan(asked):
+def trial_plan(args):
     from juniperlanding.ground.units import SEC, Duration
     from juniperlanding.standins.trial import TROUBLES, Plan
 
     try:
-        seconds = Duration.parse(asked["--for"]) / SEC
+        seconds = Duration.parse(args["--for"]) / SEC
     except ValueError as error:
-        raise Refused(f"--for: found {asked['--for']!r}, expected {error}") from None
-    rate = re.fullmatch(r"(\d{1,6}(?:\.\d+)?)(?:/s)?", asked["--rate"])
+        raise Refused(f"--for: found {args['--for']!r}, expected {error}") from None
+    rate = re.fullmatch(r"(\d{1,6}(?:\.\d+)?)(?:/s)?", args["--rate"])
     if not rate or not 0 < float(rate[1]) <= 5000:
-        raise Refused(f'--rate: found {asked["--rate"]!r}, expected a rate such as "50/s", at most 5000/s')
+        raise Refused(f'--rate: found {args["--rate"]!r}, expected a rate such as "50/s", at most 5000/s')
     if not 0.5 <= seconds <= 3600:
-        raise Refused(f"--for: found {asked['--for']!r}, expected from 500ms to 1h")
-    if asked["--trouble"] not in TROUBLES:
-        raise Refused(f"--trouble: found {asked['--trouble']!r}, expected one of {', '.join(TROUBLES)}")
-    return Plan(seconds, float(rate[1]), asked["--seed"], asked["--trouble"])
+        raise Refused(f"--for: found {args['--for']!r}, expected from 500ms to 1h")
+    if args["--trouble"] not in TROUBLES:
+        raise Refused(f"--trouble: found {args['--trouble']!r}, expected one of {', '.join(TROUBLES)}")
+    return Plan(seconds, float(rate[1]), args["--seed"], args["--trouble"])
 
 
-def run(asked):
+def run(args):
     import trio
 
     from juniperlanding.ground.seams import Clock
     from juniperlanding.standins.trial import Trial
 
-    if asked["--dispatchers"]:
-        return several(asked)
-    wanted = plan(asked)
+    if args["--dispatchers"]:
+        return run_fleet(args)
+    plan = trial_plan(args)
     with tempfile.TemporaryDirectory(prefix="juniperlanding-try-") as scratch:
-        wanted.folder = Path(asked["--keep"] or scratch)
+        plan.folder = Path(args["--keep"] or scratch)
         try:
-            wanted.folder.mkdir(parents=True, exist_ok=True)
+            plan.folder.mkdir(parents=True, exist_ok=True)
         except OSError as error:
-            raise Refused(f"{wanted.folder}: {error.strerror.lower()}") from None
-        trial = Trial(wanted, Clock().now)
+            raise Refused(f"{plan.folder}: {error.strerror.lower()}") from None
+        trial = Trial(plan, Clock().now)
         try:
-            trio.run(play, trial)
+            trio.run(run_with_progress, trial)
         except* (RuntimeError, trio.TooSlowError, OSError) as group:
-            raise Refused(f"the trial could not run: {first(group)}", UNWELL) from None
+            raise Refused(f"the run failed: {first_error(group)}", EXIT_FAILED) from None
         finally:
             for process in {trial.process, trial.second} - {None}:
                 if process.returncode is None:
-                    process.kill()  # threat: interrupted, and the dispatcher serves on for nobody
-        return report(trial, asked["--json"])
+                    process.kill()  # an interrupted run would otherwise leave the dispatcher running
+        return report(trial, args["--json"])
 
 
-def first(group):
+def first_error(group):
     while isinstance(group, BaseExceptionGroup):
         group = group.exceptions[0]
     return str(group) or type(group).__name__
 
 
-async def play(trial):
+async def run_with_progress(trial):
     import trio
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(show, trial)
+        nursery.start_soon(show_progress, trial)
         await trial.run()
         nursery.cancel_scope.cancel()
 
@@ -108,16 +109,17 @@
 def summary(trial):
     from collections import Counter
 
-    ends = Counter(record.outcome() for record in trial.audit.records.values())
-    gone = (trial.now() - trial.begun) / 1e9
+    counts = Counter(record.outcome() for record in trial.audit.records.values())
+    elapsed = (trial.now() - trial.begun) / 1e9
     return (
-        f"{gone:5.1f} s  {trial.stage}: {len(trial.audit.records)} handed in, {ends['delivered']} delivered, "
-        f"{ends['throttled']} throttled, {ends['expired']} expired, {ends['open']} open"
+        f"{elapsed:5.1f} s  {trial.stage}: {len(trial.audit.records)} handed in, "
+        f"{counts['delivered']} delivered, {counts['throttled']} throttled, "
+        f"{counts['expired']} expired, {counts['open']} open"
     )
 
 
-async def show(trial):
-    """A live table on a terminal where rich is installed; else a line a second."""
+async def show_progress(trial):
+    """Show a live table on a terminal where rich is installed, and print a line per second otherwise."""
     import trio
 
     if sys.stderr.isatty():
@@ -129,22 +131,23 @@
         else:
             with Live(console=Console(stderr=True), auto_refresh=False, transient=True) as live:
                 while True:
-                    live.update(tables(trial, rich_table), refresh=True)
+                    live.update(render_tables(trial, rich_table), refresh=True)
                     await trio.sleep(0.25)
     while True:
         await trio.sleep(1)
         print(summary(trial), file=sys.stderr, flush=True)
 
 
-def rows(trial):
+def result_rows(trial):
+    """Return the rows by topic type, by destination and by endpoint."""
     from juniperlanding.standins.clients import TOPICS
     from juniperlanding.standins.trial import FLEET
 
     objectives = {topic.name: topic.objective for topic in TOPICS}
-    tempers = {number: "+".join(names) for number, names in FLEET.items()}
+    behaviours = {number: "+".join(names) for number, names in FLEET.items()}
     by_topic = trial.audit.by(lambda record: record.topic, objectives)
     by_destination = trial.audit.by(
-        lambda record: f"{record.destination} {tempers[record.destination]}", objectives
+        lambda record: f"{record.destination} {behaviours[record.destination]}", objectives
     )
     by_endpoint = [
         {
@@ -159,19 +162,20 @@
     return by_topic, by_destination, by_endpoint
 
 
-def tables(trial, table):
+def render_tables(trial, render):
+    """Return the result tables as `render` makes them: `rich_table` or `plain_table`."""
     from juniperlanding.standins.temper import DELIVERED, ERROR, RESET, SILENT, TURNED_AWAY
 
-    by_topic, by_destination, by_endpoint = rows(trial)
-    ends = dict.fromkeys((DELIVERED, ERROR, TURNED_AWAY, SILENT, RESET))
+    by_topic, by_destination, by_endpoint = result_rows(trial)
+    call_outcomes = dict.fromkeys((DELIVERED, ERROR, TURNED_AWAY, SILENT, RESET))
     columns = {
         "name": "",
         "destination": "destination",
         "temper": "temper",
         "calls": "calls",
-        **{end: end.replace("_", " ") for end in ends},
+        **{outcome: outcome.replace("_", " ") for outcome in call_outcomes},
     }
-    return table(
+    return render(
         [
             ("by topic type", COLUMNS, by_topic),
             ("by destination", COLUMNS, by_destination),
@@ -181,32 +185,32 @@
     )
 
 
-def rich_table(parts, head):
+def rich_table(sections, heading):
     from rich.console import Group
     from rich.table import Table
 
-    found = [head]
-    for title, columns, entries in parts:
+    renderables = [heading]
+    for title, columns, entries in sections:
         table = Table(title=title, title_justify="left", title_style="bold")
-        for name, heading in columns.items():
-            table.add_column(heading, justify="left" if name in ("name", "temper") else "right")
+        for name, label in columns.items():
+            table.add_column(label, justify="left" if name in ("name", "temper") else "right")
         for entry in entries:
             table.add_row(*cells(columns, entry))
-        found.append(table)
-    return Group(*found)
+        renderables.append(table)
+    return Group(*renderables)
 
 
-def plain_table(parts, head):
-    lines = [head]
-    for title, columns, entries in parts:
+def plain_table(sections, heading):
+    lines = [heading]
+    for title, columns, entries in sections:
         grid = [list(columns.values()), *(cells(columns, entry) for entry in entries)]
         widths = [max(map(len, column)) for column in zip(*grid, strict=True)]
         lines += ["", title]
-        for line in grid:
+        for row in grid:
             lines.append(
                 "  ".join(
-                    cell.ljust(width) if at == 0 else cell.rjust(width)
-                    for at, (cell, width) in enumerate(zip(line, widths, strict=True))
+                    cell.ljust(width) if index == 0 else cell.rjust(width)
+                    for index, (cell, width) in enumerate(zip(row, widths, strict=True))
                 ).rstrip()
             )
     return "\n".join(lines)
@@ -216,10 +220,12 @@
     return ["-" if entry.get(name) is None else str(entry[name]) for name in columns]
 
 
-def report(trial, to):
-    faults, figures = trial.audit.faults(), trial.figures
-    by_topic, by_destination, by_endpoint = rows(trial)
-    found = {
+def report(trial, output):
+    """Print the results, or write them as JSON to `output`; return the exit code."""
+    faults = trial.audit.faults()
+    figures = trial.figures
+    by_topic, by_destination, by_endpoint = result_rows(trial)
+    result = {
         "seed": trial.plan.seed,
         "rate": trial.plan.rate,
         "seconds": trial.plan.seconds,
@@ -236,32 +242,32 @@
         "replacements_killed": figures.failed,
         "load_late_ms": round(figures.late_ms, 1),
     }
-    if to == "-":
-        print(json.dumps(found, indent=2))
+    if output == "-":
+        print(json.dumps(result, indent=2))
     else:
-        print(tables(trial, plain_table))
+        print(render_tables(trial, plain_table))
         print(
             f"\nready after {', '.join(f'{s:.2f} s' for s in figures.ready_after)}; peak memory "
-            f"{figures.peak_memory / 1e6:.1f} MB; the load was at most {figures.late_ms:.0f} ms late"
+            f"{figures.peak_memory / 1e6:.1f} MB; load generator at most {figures.late_ms:.0f} ms late"
         )
         if figures.replaced or figures.failed:
-            print(f"replaced {figures.replaced} times; {figures.failed} more were killed as they began")
-        if to:
-            fresh = f"{to}.{os.getpid()}.new"
+            print(f"replaced {figures.replaced} times; {figures.failed} more were killed during start-up")
+        if output:
+            temporary = f"{output}.{os.getpid()}.new"
             try:
-                Path(fresh).write_text(json.dumps(found, indent=2) + "\n", encoding="utf-8")
-                os.replace(fresh, to)
+                Path(temporary).write_text(json.dumps(result, indent=2) + "\n", encoding="utf-8")
+                os.replace(temporary, output)
             except OSError as error:
-                raise Refused(f"{to}: {error.strerror.lower()}") from None
+                raise Refused(f"{output}: {error.strerror.lower()}") from None
     for name, ids in faults.items():
         print(f"juniperlanding: {len(ids)} {name}: {', '.join(ids[:5])}", file=sys.stderr)
-    if not faults and to != "-":
-        print("every notification had one final answer")
-    return UNWELL if faults else 0
+    if not faults and output != "-":
+        print("every notification had exactly one final outcome")
+    return EXIT_FAILED if faults else 0
 
 
-def several(asked):
-    """The same with N processes: how long views took to settle, and whether every notification ended once."""
+def run_fleet(args):
+    """Run N processes; report how long views took to converge and whether each notification ended once."""
     import dataclasses
 
     import trio
@@ -271,22 +277,23 @@
     from juniperlanding.processes.rig import Rig
     from juniperlanding.processes.troubles import TROUBLES, Outcome, play
 
-    text, name = asked["--dispatchers"], asked["--trouble"]
-    if not text.isdigit() or not 2 <= int(text) <= 64:
-        raise Refused(f"--dispatchers: found {text!r}, expected from 2 to 64")
+    count_text = args["--dispatchers"]
+    name = args["--trouble"]
+    if not count_text.isdigit() or not 2 <= int(count_text) <= 64:
+        raise Refused(f"--dispatchers: found {count_text!r}, expected from 2 to 64")
     if name not in TROUBLES and name not in policy.TROUBLES:
         names = ", ".join([*TROUBLES, *policy.TROUBLES])
         raise Refused(f"--trouble: found {name!r}, expected one of {names}")
-    rate = plan(asked | {"--trouble": "none"}).rate
+    rate = trial_plan(args | {"--trouble": "none"}).rate
     if name in policy.TROUBLES:
-        return policies(asked, int(text), rate)
-    sites = asked["--sites"] or "3"
-    if not sites.isdigit() or not 2 <= int(sites) <= min(5, int(text)):
+        return run_policy_changes(args, int(count_text), rate)
+    sites = args["--sites"] or "3"
+    if not sites.isdigit() or not 2 <= int(sites) <= min(5, int(count_text)):
         raise Refused(f"--sites: found {sites!r}, expected from 2 to 5, and no more than dispatchers")
     sites = int(sites)
-    outcome = Outcome(name, int(text), asked["--seed"])
+    outcome = Outcome(name, int(count_text), args["--seed"])
     with tempfile.TemporaryDirectory(prefix="juniperlanding-try-") as scratch:
-        folder = asked["--keep"] or scratch
+        folder = args["--keep"] or scratch
         if name == "region":
             rig = Region(outcome.count, folder, outcome.seed, sites=sites)
         else:
@@ -294,59 +301,63 @@
         try:
             trio.run(rig.run, lambda rig: play(rig, name, outcome))
         except* (RuntimeError, trio.TooSlowError, OSError) as group:
-            raise Refused(f"the trial could not run: {first(group)}", UNWELL) from None
-    if asked["--json"]:
+            raise Refused(f"the run failed: {first_error(group)}", EXIT_FAILED) from None
+    if args["--json"]:
         row = json.dumps(dataclasses.asdict(outcome) | {"well": outcome.well})
-        if asked["--json"] == "-":
+        if args["--json"] == "-":
             print(row)
         else:
-            Path(asked["--json"]).write_text(row + "\n", encoding="utf-8")
+            Path(args["--json"]).write_text(row + "\n", encoding="utf-8")
     else:
         for step, took in outcome.steps:
-            print(f"{step:<28} {'not settled' if took is None else f'settled after {took:.1f} s'}")
+            print(f"{step:<28} {'not converged' if took is None else f'converged after {took:.1f} s'}")
         for loss in outcome.losses:
-            print(f"{loss.site} lost at {loss.level:.0%}, foretold from {loss.known}:")
-            for name, (value, least, most, seen, *_) in loss.cells.items():
-                print(f"  {name:<18} foretold {value:7.2f} [{least:.2f}, {most:.2f}]/s, seen {seen:7.2f}/s")
+            print(f"{loss.site} lost at {loss.level:.0%}, forecast from {loss.known}:")
+            for name, (value, lower, upper, observed, *_) in loss.cells.items():
+                print(
+                    f"  {name:<18} forecast {value:7.2f} [{lower:.2f}, {upper:.2f}]/s, "
+                    f"observed {observed:7.2f}/s"
+                )
         print(
             f"{outcome.notifications} notifications, faults {outcome.faults or 'none'}; "
-            f"held for dead though alive: {len(outcome.false_deaths)}"
+            f"live processes declared dead: {len(outcome.false_deaths)}"
         )
-    return 0 if outcome.well else UNWELL
+    return 0 if outcome.well else EXIT_FAILED
 
 
-def policies(asked, count, rate):
-    """Changes of policy under drawn faults: whether a number was ever in force beside another."""
+def run_policy_changes(args, count, rate):
+    """Change the policy under random faults; report whether two policies were ever in force at once."""
     import dataclasses
 
     import trio
 
     from juniperlanding.processes.policy import TROUBLES, Outcome, Policies, play
 
-    changes, to = asked["--changes"], asked["--json"]
+    changes = args["--changes"]
+    output = args["--json"]
     if not changes.isdigit() or not 1 <= int(changes) <= 10_000 or count < 3:
         raise Refused(f"--changes: found {changes!r}, expected from 1 to 10000, with 3 dispatchers at least")
-    outcome = Outcome(asked["--trouble"], count, asked["--seed"])
+    outcome = Outcome(args["--trouble"], count, args["--seed"])
     with tempfile.TemporaryDirectory(prefix="juniperlanding-try-") as scratch:
-        rig = Policies(count, asked["--keep"] or scratch, outcome.seed, rate)
+        rig = Policies(count, args["--keep"] or scratch, outcome.seed, rate)
         names = rig.chance.choices(TROUBLES[outcome.trouble], k=int(changes))
 
-        def tell(line):
+        def print_progress(line):
             print(line, file=sys.stderr, flush=True)
 
         try:
-            trio.run(rig.run, lambda rig: play(rig, names, outcome, tell))
+            trio.run(rig.run, lambda rig: play(rig, names, outcome, print_progress))
         except* (RuntimeError, trio.TooSlowError, OSError) as group:
-            raise Refused(f"the trial could not run: {first(group)}", UNWELL) from None
+            raise Refused(f"the run failed: {first_error(group)}", EXIT_FAILED) from None
         finally:
-            if asked["--keep"]:
-                rig.save(Path(asked["--keep"]) / "history.sqlite")
-            if to and to != "-":
-                rig.save(Path(to).with_suffix(".sqlite"))
+            if args["--keep"]:
+                rig.save(Path(args["--keep"]) / "history.sqlite")
+            if output and output != "-":
+                rig.save(Path(output).with_suffix(".sqlite"))
     row = json.dumps(dataclasses.asdict(outcome) | {"well": outcome.well})
-    if to and to != "-":
-        Path(to).write_text(row + "\n", encoding="utf-8")
-    elif to:
+    if output and output != "-":
+        Path(output).write_text(row + "\n", encoding="utf-8")
+    elif output:
         print(row)
     else:
         print(
@@ -354,4 +365,4 @@
             f"{outcome.notifications} notifications"
         )
         print(f"breaches {outcome.breaches or 'none'}, faults {outcome.faults or 'none'}")
-    return 0 if outcome.well else UNWELL
+    return 0 if outcome.well else EXIT_FAILED
--- a/juniperlanding/cli/version.py
+++ b/juniperlanding/cli/version.py
@@ -7,5 +7,5 @@
 from juniperlanding import VERSION
 
 
-def run(asked):
+def run(args):
     print(VERSION)
