--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""What KNOWN-RED.txt lists is passed over, and nothing else: whole runs over a small tree."""
+"""Tests listed in KNOWN-RED.txt may fail, and no others: whole pytest runs over a small tree of tests."""
 
 from pathlib import Path
 
@@ -6,11 +6,11 @@
 from known_red import read
 
 HERE = Path(__file__).parent
-FAILS, PASSES, AWAY = (f"tests/test_a.py::test_{name}" for name in ("fails", "passes", "away"))
+FAILS, PASSES, ABSENT = (f"tests/test_a.py::test_{name}" for name in ("fails", "passes", "away"))
 CONFTEST = "from known_red import pytest_collection_modifyitems, pytest_configure, pytest_terminal_summary\n"
 SETTINGS = f"[pytest]\ntestpaths = tests\npythonpath = {HERE}\naddopts = -q -p no:cacheprovider\n"
 TREE = "def test_passes():\n    pass\n\n\ndef test_fails():\n    assert not 'as known'\n"
-both = pytest.mark.parametrize("apart", [(), ("-n", "2")], ids=["one process", "xdist"])
+with_and_without_xdist = pytest.mark.parametrize("options", [(), ("-n", "2")], ids=["one process", "xdist"])
 pytest_plugins = ["pytester"]
 
 
@@ -19,7 +19,9 @@
 
 
 @pytest.fixture
-def play(pytester):
+def run_tests(pytester):
+    """Run pytest with the text as KNOWN-RED.txt; give exit code, output and its last line."""
+
     def run(text, *args):
         tests = pytester.mkdir("tests")
         (tests / "conftest.py").write_text(CONFTEST)
@@ -27,53 +29,53 @@
         (pytester.path / "pytest.ini").write_text(SETTINGS)
         if text is not None:
             (pytester.path / "KNOWN-RED.txt").write_text(text)
-        ended = pytester.runpytest(*args)
-        said = ended.stdout.str() + ended.stderr.str()
-        return ended.ret, said, said.strip().splitlines()[-1]
+        result = pytester.runpytest(*args)
+        output = result.stdout.str() + result.stderr.str()
+        return result.ret, output, output.strip().splitlines()[-1]
 
     return run
 
 
-@both
-def test_listed_test_that_fails_is_passed_over_and_printed(play, apart):
-    code, said, closing = play(line(FAILS), *apart)
-    assert code == 0 and closing.startswith("1 passed, 1 xfailed in ")
-    assert f"KNOWN RED: {FAILS}: a request is not answered (issue 40)" in said
+@with_and_without_xdist
+def test_listed_test_that_fails_is_passed_over_and_printed(run_tests, options):
+    code, output, last_line = run_tests(line(FAILS), *options)
+    assert code == 0 and last_line.startswith("1 passed, 1 xfailed in ")
+    assert f"KNOWN RED: {FAILS}: a request is not answered (issue 40)" in output
 
 
-@both
-def test_listed_test_that_passes_fails_the_run(play, apart):
-    code, said, closing = play(line(FAILS) + line(PASSES), *apart)
-    assert code == 1 and closing.startswith("1 failed, 1 xfailed in ") and "XPASS(strict)" in said
+@with_and_without_xdist
+def test_listed_test_that_passes_fails_the_run(run_tests, options):
+    code, output, last_line = run_tests(line(FAILS) + line(PASSES), *options)
+    assert code == 1 and last_line.startswith("1 failed, 1 xfailed in ") and "XPASS(strict)" in output
 
 
-@both
-def test_listed_test_that_does_not_exist_fails_the_run(play, apart):
-    code, said, closing = play(line(FAILS) + line(AWAY), *apart)
-    assert code == 1 and closing.startswith("1 failed, 1 passed, 1 xfailed in ")
-    assert f"lists {AWAY}, which does not exist" in said
+@with_and_without_xdist
+def test_listed_test_that_does_not_exist_fails_the_run(run_tests, options):
+    code, output, last_line = run_tests(line(FAILS) + line(ABSENT), *options)
+    assert code == 1 and last_line.startswith("1 failed, 1 passed, 1 xfailed in ")
+    assert f"lists {ABSENT}, which does not exist" in output
 
 
-@both
-def test_failing_test_that_is_not_listed_fails_the_run(play, apart):
-    code, said, closing = play("", *apart)
-    assert code == 1 and closing.startswith("1 failed, 1 passed in ") and "KNOWN" not in said
+@with_and_without_xdist
+def test_failing_test_that_is_not_listed_fails_the_run(run_tests, options):
+    code, output, last_line = run_tests("", *options)
+    assert code == 1 and last_line.startswith("1 failed, 1 passed in ") and "KNOWN" not in output
 
 
-def test_without_the_file_nothing_differs(play):
-    code, said, closing = play(None)
-    assert code == 1 and closing.startswith("1 failed, 1 passed in ") and "KNOWN" not in said
+def test_without_the_file_nothing_differs(run_tests):
+    code, output, last_line = run_tests(None)
+    assert code == 1 and last_line.startswith("1 failed, 1 passed in ") and "KNOWN" not in output
 
 
-def test_listed_test_outside_what_was_asked_for_fails_nothing(play):
-    code, _, closing = play(line(FAILS), PASSES)
-    assert code == 0 and closing.startswith("1 passed in ")
+def test_listed_test_outside_what_was_asked_for_fails_nothing(run_tests):
+    code, _, last_line = run_tests(line(FAILS), PASSES)
+    assert code == 0 and last_line.startswith("1 passed in ")
 
 
-@both
-def test_a_fourth_line_fails_the_run(play, apart):
-    code, said, _ = play("".join(map(line, (FAILS, PASSES, AWAY, AWAY + "_too"))), *apart)
-    assert code != 0 and "KNOWN-RED.txt: 4 lines, 3 at most" in said
+@with_and_without_xdist
+def test_a_fourth_line_fails_the_run(run_tests, options):
+    code, output, _ = run_tests("".join(map(line, (FAILS, PASSES, ABSENT, ABSENT + "_too"))), *options)
+    assert code != 0 and "KNOWN-RED.txt: 4 lines, 3 at most" in output
 
 
 @pytest.mark.parametrize(
@@ -88,7 +90,7 @@
     ],
     ids=["id alone", "no cause", "no issue", "no file in the id", "blank line", "twice"],
 )
-def test_malformed_line_is_told(text):
+def test_malformed_line_is_reported(text):
     with pytest.raises(ValueError, match="is not `node id"):
         read(text)
 
