--- a/juniperlanding/carry.py
+++ b/juniperlanding/carry.py
@@ -1,8 +1,8 @@
 """The records of the decision module as plain lists, for another process to go on with.  Decides nothing.
 
-`taken_from` writes every record that an instance reaches, `given_to` builds them again.  What belongs to the
-process itself (settings, seed, number, planned stop) is left out.  `VERSION` is computed from the outer names
-of the records' fields: records of another version are not read."""
+`export_state` writes every record that an instance reaches, `import_state` builds them again.  What
+belongs to the process itself (settings, seed, number, planned stop) is left out.  `VERSION` is computed from
+the outer names of the records' fields: records of another version are not read."""
 
 from zlib import crc32
 
@@ -26,7 +26,7 @@
         {
             "ntf": "ntf",
             "number": "number",
-            "options": "options",
+            "options": "candidates",
             "endpoint": "endpoint",
             "call": "call",
             "zone": "zone",
@@ -48,12 +48,12 @@
             "ttl_at": "ttl_at",
             "key": "key",
             "pushes": "pushes",
-            "unsent": "unsent",
+            "unsent": "never_sent",
             "cut": "timeout_doublings",
             "out": "in_flight",
             "not_before": "not_before",
             "may_have_run": "may_have_run",
-            "counts": "counts",
+            "counts": "benefit_share",
             "over": "finished",
         },
     ),
@@ -64,7 +64,7 @@
             "wait_until": "wait_until",
             "refusals": "throttle_run",
             "refused_since": "throttled_since",
-            "pace": "pace",
+            "pace": "rate",
             "limit": "reported_limit",
             "tokens": "tokens",
             "filled_at": "filled_at",
@@ -84,15 +84,15 @@
             "state": "state",
             "calls": "calls",
             "trouble": "trouble",
-            "bad_since": "bad_since",
-            "run": "run",
+            "bad_since": "failing_since",
+            "run": "failure_run",
             "good_at": "delivered_at",
             "full_at": "connection_refused_at",
             "quiet_since": "idle_since",
             "excused": "uncounted_reset_idle",
-            "down": "down",
-            "trial_at": "trial_at",
-            "back_at": "back_at",
+            "down": "ejected",
+            "trial_at": "probe_at",
+            "back_at": "warming_since",
             "tokens": "tokens",
             "filled_at": "filled_at",
         },
@@ -108,12 +108,12 @@
             "turn": "last_served",
             "load": "delivery_rate",
             "samples": "samples",
-            "series": "series",
+            "series": "recent",
             "mean": "mean",
-            "smooth": "smooth",
+            "smooth": "ewma",
             "errors": "errors",
             "forecast": "forecast",
-            "miss": "miss",
+            "miss": "rmse",
             "back_off": "timeout_doublings",
             "calls_out": "calls_out",
             "idle_until": "idle_until",
@@ -133,8 +133,8 @@
     "loss": "own_loss",
     "scarce": "refusing_kinds",
     "keys": "keys",
-    "key_rest": "key_rest",
-    "tenants": "tenants",
+    "key_rest": "key_holds",
+    "tenants": "tenant_next_at",
     "wakes": "wakes",
     "list_failures": "list_failures",
     "subscribe_at": "subscribe_at",
@@ -153,16 +153,16 @@
 RECORD, TOPIC, DICT, LIST, TUPLE, SET = range(6)
 
 
-class Unknown(ValueError):
+class UnreadableState(ValueError):
     """Records that this version cannot read."""
 
 
-def taken_from(me, terms=None):
+def export_state(source, terms=None):
     """All that an instance knows: {"records": [[kind, field...]...], "instance": [field...]}.
 
     terms: number -> topic types of each policy under which a pending notification was accepted; 0 stands for
     the process's own settings."""
-    types_by_policy = terms or {0: me.settings.get("topic_types", [])}
+    types_by_policy = terms or {0: source.settings.get("topic_types", [])}
     topics = {
         id(topic): [position, number] if number else [position]
         for number, types in sorted(types_by_policy.items(), reverse=True)
@@ -189,15 +189,15 @@
         value = getattr(record, name)
         return [TOPIC, *topics.get(id(value), [-1])] if name == "topic" else plain(value)
 
-    instance = [field(me, name) for name in INSTANCE_FIELDS]
+    instance = [field(source, name) for name in INSTANCE_FIELDS]
     for record in found:  # grows while its entries are written
         records.append([RECORDS.index(type(record)), *(field(record, name) for name in FIELDS[type(record)])])
     return {"records": records, "instance": instance}
 
 
-def given_to(me, state, terms=None):
-    """Give an instance what `taken_from` wrote; where that raises `Unknown`, the instance is as it was."""
-    topics = (terms or {}) | {0: me.settings.get("topic_types", [])}
+def import_state(target, state, terms=None):
+    """Give an instance what `export_state` wrote; on `UnreadableState` the instance is as it was."""
+    topics = (terms or {}) | {0: target.settings.get("topic_types", [])}
     try:
         kinds = [RECORDS[kind] for kind, *_ in state["records"]]
         built = [kind.__new__(kind) for kind in kinds]
@@ -220,6 +220,6 @@
         instance = [rebuilt(value) for value in state["instance"]]
         pairs = list(zip(INSTANCE_FIELDS, instance, strict=True))
     except (ValueError, TypeError, KeyError, IndexError, RecursionError) as error:
-        raise Unknown(f"{type(error).__name__}: {error}") from None
+        raise UnreadableState(f"{type(error).__name__}: {error}") from None
     for name, value in pairs:
-        setattr(me, name, value)
+        setattr(target, name, value)
--- a/juniperlanding/drill/host.py
+++ b/juniperlanding/drill/host.py
@@ -7,7 +7,7 @@
 
 from juniperlanding.choice import Dispatcher
 from juniperlanding.drill import codec
-from juniperlanding.settings import in_our_words, report_names
+from juniperlanding.settings import report_names, translate_settings
 
 
 class DrillHost:
@@ -72,7 +72,7 @@
             number = fields[0]
             try:
                 if name == "enlist":
-                    settings = in_our_words(json.loads(fields[2]))
+                    settings = translate_settings(json.loads(fields[2]))
                     host = DrillHost(number, self.actions)
                     self.dispatchers[number] = Dispatcher(host, settings, seed=fields[1], now=now)
                 elif name == "stop":
@@ -89,7 +89,7 @@
                 self.report_failure(number, error)
         for number, dispatcher in touched.items():
             try:
-                dispatcher.turn()
+                dispatcher.decide()
             except Exception as error:
                 self.report_failure(number, error)
         return self.actions
@@ -122,7 +122,7 @@
         if news != "failed" and number not in self.lists:
             raise codec.Malformed(f"no list {number}")
         entries = [] if news == "failed" else self.lists[number]
-        dispatcher.listed(
+        dispatcher.update_endpoints(
             news,
             [
                 (endpoint, destination, kind, scale, zone, codec.STATES.get(state, "gone"))
@@ -138,14 +138,14 @@
             latency=spent,
             wait=detail * 1_000_000,
             over=bool(complete),
-            report=dict(zip(report_names(dispatcher.me.settings), report, strict=False)),
+            report=dict(zip(report_names(dispatcher.state.settings), report, strict=False)),
         )
 
     def vanished(self, dispatcher, ntf):
-        dispatcher.withdrawn(ntf)
+        dispatcher.withdraw(ntf)
 
     def incoming(self, dispatcher, ntf, grade, tenant, key, ttl_at, work, destination, bits):
-        names = [*dispatcher.me.settings.get("tenants", {})]
+        names = [*dispatcher.state.settings.get("tenants", {})]
         dispatcher.notification(
             ntf,
             grade,
--- a/juniperlanding/emulator/baselines.py
+++ b/juniperlanding/emulator/baselines.py
@@ -36,12 +36,12 @@
     def __init__(self, host, settings, seed, now):
         self.host, self.settings, self.seed, self.now = host, settings, seed, now
         self.items, self.places, self.turns, self.out = {}, {}, {}, 0
-        self.me = SimpleNamespace(notifications=self.items)
+        self.state = SimpleNamespace(notifications=self.items)
 
     def start(self):
         pass
 
-    def listed(self, news, entries):
+    def update_endpoints(self, news, entries):
         self.places = {}
         for entry in entries:
             if entry[5] == "ready":
@@ -77,7 +77,7 @@
             return True
         return item.kind == "collapsible" and self.now < item.ran_at + item.window * 19 // 20
 
-    def turn(self):
+    def decide(self):
         for item in [item for item in self.items.values() if not item.out]:
             if not self.may_go(item):
                 del self.items[item.id]
--- a/juniperlanding/emulator/decisions.py
+++ b/juniperlanding/emulator/decisions.py
@@ -13,7 +13,7 @@
 from juniperlanding.emulator import baselines, faults
 from juniperlanding.emulator.chance import stream
 from juniperlanding.emulator.model import Capacity, server
-from juniperlanding.settings import in_our_words
+from juniperlanding.settings import translate_settings
 from juniperlanding.standins.audit import GRACE, Audit, figures
 from juniperlanding.standins.temper import ERROR, RESET, SILENT, TEMPERS, TURNED_AWAY
 
@@ -129,14 +129,17 @@
             self.start(host)
 
     def start(self, host):
-        settings = in_our_words(self.wire) | {"rank": host.number, "dispatchers": self.scenario.fleet.count}
+        settings = translate_settings(self.wire) | {
+            "rank": host.number,
+            "dispatchers": self.scenario.fleet.count,
+        }
         policy = Dispatcher if self.policy == "module" else baselines.POLICIES[self.policy]
         host.out, host.pushes, host.starts = {}, {}, host.starts + 1
         host.at = policy(host, settings, f"{self.seed}/{host.starts}", EPOCH + self.now)
         if self.policy == "omniscient":
             host.at.world = self
         host.at.start()
-        host.at.listed("cached", self.endpoints)
+        host.at.update_endpoints("cached", self.endpoints)
 
     # ---- the queue
 
@@ -171,7 +174,7 @@
     def submit(self, ntf_id, topic, number, destination, key):
         host = self.hosts[(int(ntf_id[1:]) + number) % len(self.hosts)]
         self.audit.handed_in(ntf_id, topic.name, destination, topic.kind, int(topic.ttl))
-        if len(host.at.me.notifications) >= self.scenario.fleet.most_held:
+        if len(host.at.state.notifications) >= self.scenario.fleet.most_held:
             return self.audit.answered(ntf_id, 503)
         self.audit.answered(ntf_id, 202)
         self.held[ntf_id] = host
@@ -267,7 +270,7 @@
                 touched.at.now = EPOCH + self.now
             what(*fields)
             if touched:
-                touched.at.turn()
+                touched.at.decide()
             self.events += 1
         return self.figures(until, time.perf_counter() - began)
 
--- a/juniperlanding/emulator/invariants.py
+++ b/juniperlanding/emulator/invariants.py
@@ -277,7 +277,7 @@
 
     def inside(self, dispatcher, now):
         node = dispatcher.node
-        owner, me = node.owner, node.owner.at.me
+        owner, state = node.owner, node.owner.dispatcher.state
         # While the disk fails the owner waits, and what the sockets tell waits for it.
         waits = bool(owner.ledger.pending) or owner.inbox.statistics().current_buffer_used
         calls = len({id(call) for call in owner.endpoints.out.values()})
@@ -286,15 +286,15 @@
             "beliefs",
             now,
             STALE,
-            not waits and (set(me.pushes) != set(owner.endpoints.out) or me.slots_out != calls),
-            f"module believes {len(me.pushes)} pushes out in {me.slots_out} calls, sockets carry "
+            not waits and (set(state.pushes) != set(owner.endpoints.out) or state.slots_out != calls),
+            f"module believes {len(state.pushes)} pushes out in {state.slots_out} calls, sockets carry "
             f"{len(owner.endpoints.out)} in {calls}",
         )
         late = [
             n.id
-            for d in me.destinations.values()
+            for d in state.destinations.values()
             for n in d.waiting
-            if owner.at.ttl.ends(n) + AT_ONCE < owner.at.now
+            if owner.dispatcher.ttl.ends(n) + AT_ONCE < owner.dispatcher.now
         ]
         if late:
             self.broke("at once", f"{dispatcher.name} holds {late[0]} though it can no longer go", late[0])
@@ -305,7 +305,7 @@
             "idle connections": (sum(map(len, owner.endpoints.idle.values())), 4096),
             "timers": (
                 len(owner.timers),
-                2000 + TIMERS_EACH * (len(owner.held) + len(owner.taken) + len(me.endpoints)),
+                2000 + TIMERS_EACH * (len(owner.held) + len(owner.taken) + len(state.endpoints)),
             ),
             "sockets": (dispatcher.fabric.descriptors(dispatcher.name), owner.config.sockets),
         }
@@ -332,9 +332,9 @@
                 "owed": len(owner.ledger.owed),
                 "out": len(owner.endpoints.out),
                 "remembered ids": len(owner.taken),
-                "pushes": len(owner.at.me.pushes),
-                "waiting": sum(len(d.waiting) for d in owner.at.me.destinations.values()),
-                "keys": len(owner.at.me.keys),
+                "pushes": len(owner.dispatcher.state.pushes),
+                "waiting": sum(len(d.waiting) for d in owner.dispatcher.state.destinations.values()),
+                "keys": len(owner.dispatcher.state.keys),
             }
             found = {name: count for name, count in left.items() if count}
             if found:
--- a/juniperlanding/emulator/mutants.py
+++ b/juniperlanding/emulator/mutants.py
@@ -53,10 +53,10 @@
     return 1 << 62
 
 
-@mutant(choice.RetryAfter, "back")
+@mutant(choice.RetryAfter, "on_outcome")
 def told_wait_ignored(self, push, ending, latency, wait, report):
     """An endpoint says when to come again, and nobody listens."""
-    return choice.RetryAfter.__mro__[1].back(self, push, ending, latency, 0, report)
+    return choice.RetryAfter.__mro__[1].on_outcome(self, push, ending, latency, 0, report)
 
 
 @mutant(endpoints.Endpoints, "recall")
@@ -113,14 +113,14 @@
         await self.added.wait()
 
 
-@mutant(choice.Dispatcher, "give_up")
+@mutant(choice.Dispatcher, "abandon")
 def given_up_is_held_back(self, ntf):
     """What can no longer go keeps waiting until its TTL."""
     if self.now >= ntf.ttl_at:
-        GIVE_UP(self, ntf)
+        ABANDON(self, ntf)
 
 
-GIVE_UP = choice.Dispatcher.give_up
+ABANDON = choice.Dispatcher.abandon
 
 
 @mutant(owner.Owner, "call_at")
@@ -133,23 +133,23 @@
         heapq.heappush(self.timers, (at, self.sequence, function, *fields))
 
 
-@mutant(choice.Pick, "back")
+@mutant(choice.EndpointSelection, "on_outcome")
 def slot_leaks_after_a_timeout(self, push, ending, latency, wait, report):
     """A call that timed out keeps its slot in the books."""
-    out = self.me.slots_out
-    PICK_BACK(self, push, ending, latency, wait, report)
+    out = self.state.slots_out
+    ON_OUTCOME(self, push, ending, latency, wait, report)
     if ending == "timeout":
-        self.me.slots_out = out
+        self.state.slots_out = out
 
 
-PICK_BACK = choice.Pick.back
+ON_OUTCOME = choice.EndpointSelection.on_outcome
 
 
-@mutant(choice.ConcurrencyLimit, "out")
+@mutant(choice.ConcurrencyLimit, "admit")
 def slots_not_counted(self, push):
     """More calls go out than there are slots."""
-    push.options = [e for e in push.ntf.destination.endpoints if e.state == "ready"]
-    return choice.PASS if push.options else choice.KEEP
+    push.candidates = [e for e in push.ntf.destination.endpoints if e.state == "ready"]
+    return choice.PASS if push.candidates else choice.KEEP
 
 
 @mutant(owner.Owner, "check_after_ttl")
--- a/juniperlanding/emulator/region.py
+++ b/juniperlanding/emulator/region.py
@@ -82,13 +82,13 @@
             "rank": int(self.name[1:]),
         }
         self.at = Dispatcher(self, settings, f"{town.seed}/{self.name}/{town.now}", town.now)
-        self.at.listed(
+        self.at.update_endpoints(
             "whole",
             [(number, place, 0, 100.0, zone, "ready") for number, (place, zone) in town.endpoints.items()],
         )
 
     def push(self, ntf_id, endpoint_id, timeout, leave_within):
-        ntf, town = self.at.me.notifications[ntf_id], self.town
+        ntf, town = self.at.state.notifications[ntf_id], self.town
         zone = town.endpoints[endpoint_id][1]
         lasts = int(town.median * exp(town.chance.gauss(0, town.spread)))
         ending = "delivered"
@@ -100,7 +100,7 @@
 
     def outcome(self, at, ntf, number, zone, ending, latency):
         town = self.town
-        if at is not self.at or not self.lives or (ntf.id, number) not in at.me.pushes:
+        if at is not self.at or not self.lives or (ntf.id, number) not in at.state.pushes:
             return
         at.now = town.now
         if ending == "delivered":
@@ -108,10 +108,10 @@
             self.seen.answered(ntf, SITES[zone], crossed, latency, True, town.now, town.now)
             town.ended(ntf, "delivered", crossed)
         at.outcome(ntf.id, number, ending, latency=latency, over=ending == "delivered")
-        at.turn()
+        at.decide()
 
     def throttled(self, ntf_id, again_in):
-        ntf = self.at.me.notifications[ntf_id]
+        ntf = self.at.state.notifications[ntf_id]
         self.seen.refused(ntf.topic["name"], 1, self.town.now)
         self.town.ended(ntf, "refused", False)
 
@@ -125,11 +125,14 @@
         if at is self.at and self.lives:
             at.now = self.town.now
             at.wake(tok)
-            at.turn()
+            at.decide()
 
     def cancel(self, ntf_id, number):
         self.town.later(
-            0, partial(self.outcome, self.at, self.at.me.notifications.get(ntf_id), number, 0, "cancelled", 0)
+            0,
+            partial(
+                self.outcome, self.at, self.at.state.notifications.get(ntf_id), number, 0, "cancelled", 0
+            ),
         )
 
     def close_idle(self, endpoint_id):
@@ -140,9 +143,9 @@
 
     def tell(self):
         """What `part` tells, from the same records."""
-        now, me, places = self.town.now, self.at.me, []
-        for dest in me.destinations.values():
-            order = words.picked([e for e in dest.endpoints if not e.down], SITES.index(self.site))
+        now, state, places = self.town.now, self.at.state, []
+        for dest in state.destinations.values():
+            order = words.picked([e for e in dest.endpoints if not e.ejected], SITES.index(self.site))
             places.append(
                 Place(
                     dest.id,
@@ -160,7 +163,7 @@
             tuple(self.seen.kind(topic["name"], now) for topic in TOPICS),
             tuple(places),
             self.town.slots,
-            2000 - len(me.notifications),
+            2000 - len(state.notifications),
             10_000,
             near=True,
         )
@@ -216,7 +219,7 @@
         member.seen.handed_in(TOPICS[topic]["name"], place, self.now)
         member.at.now = self.now
         member.at.notification(self.ids, topic, place)
-        member.at.turn()
+        member.at.decide()
 
     def ended(self, ntf, how, crossed):
         lost = ntf.topic["benefit"] - (benefit(ntf, self.now) if how == "delivered" else 0.0)
--- a/juniperlanding/ground/effective.py
+++ b/juniperlanding/ground/effective.py
@@ -6,7 +6,7 @@
 
 from juniperlanding.ground import file
 from juniperlanding.ground.units import Quantity
-from juniperlanding.settings import in_our_words
+from juniperlanding.settings import translate_settings
 
 ENVIRONMENT_KEYS = {
     "instance.name": "EDGE_NAME",
@@ -46,7 +46,7 @@
             if document.get("limits", {}).get(name) is not None:
                 found[key] = int(document["limits"][name] * unit), origin
         wire = document.get("settings", {})
-        settings = in_our_words(wire)
+        settings = translate_settings(wire)
         found |= {
             key: (settings[name], origin) for key, name in file.setting_names().items() if name in settings
         }
--- a/juniperlanding/net/clients.py
+++ b/juniperlanding/net/clients.py
@@ -384,8 +384,8 @@
             return await self.respond(connection, 400)
         answer = Answer(ntf_id)
         # After the process was suspended, the client may have left and submitted it to another dispatcher.
-        verdict = rules.may_take_on(
-            rules.TakeOnFacts(
+        verdict = rules.may_accept(
+            rules.AcceptFacts(
                 is_ready=self.owner.ready,
                 is_writable=not self.owner.stuck,
                 is_stopping=self.closing,
--- a/juniperlanding/net/config.py
+++ b/juniperlanding/net/config.py
@@ -7,7 +7,7 @@
 from juniperlanding.choice import SEC
 from juniperlanding.ground.errors import Trouble
 from juniperlanding.net import protocol
-from juniperlanding.settings import in_our_words, report_names
+from juniperlanding.settings import report_names, translate_settings
 
 MAX_FILE_BYTES = 64 << 20  # of the platform's file; enough for some hundred thousand endpoints
 
@@ -96,7 +96,7 @@
             raise PlatformRefused("the platform's file is not a JSON object")
     platform = without_nulls(platform)
     platform_settings = platform.get("settings", {})
-    settings = in_our_words(platform_settings)
+    settings = translate_settings(platform_settings)
     if operators and not platform_settings.get("request_classes"):
         del settings["topic_types"]
     settings = {"topic_types": []} | operator_settings.settings | settings
--- a/juniperlanding/net/endpoints.py
+++ b/juniperlanding/net/endpoints.py
@@ -10,7 +10,7 @@
 import h11
 import trio
 
-from juniperlanding.choice import MS, SEC, TRAVEL_SHARE
+from juniperlanding.choice import MS, SEC, TRANSIT_MARGIN_DIVISOR
 from juniperlanding.ground.log import described, where
 from juniperlanding.handover import steps
 from juniperlanding.net import protocol
@@ -71,7 +71,7 @@
         self.connect_timeout = config.connect_within / SEC
         idle_closes = config.settings.get("idle_closes", 0)
         # Less than the endpoint's own idle time-out, since a request needs time to arrive.
-        self.max_idle = idle_closes - idle_closes // TRAVEL_SHARE or 1 << 62
+        self.max_idle = idle_closes - idle_closes // TRANSIT_MARGIN_DIVISOR or 1 << 62
         self.report = config.report  # names of the load figures in responses
         self.book = {}  # endpoint: address
         self.idle = {}  # endpoint: open connections without a call, the one idle longest first
--- a/juniperlanding/net/node.py
+++ b/juniperlanding/net/node.py
@@ -142,7 +142,7 @@
         await owner.tell(owner.begin, known, self.offer)
         self.offer = None
         if self.stops_at:  # SIGTERM came during a hand-over that then failed
-            await owner.tell(owner.at.stopping, self.stops_at)
+            await owner.tell(owner.dispatcher.plan_stop, self.stops_at)
         if configuration.settings.get("list_mode") != "ask":
             # By way of the queue: discovery must not ask before the first iteration of the decision loop has
             # given it the revision that the previous process had.
@@ -217,7 +217,7 @@
 
     def load(self):
         """The load that is reported to other dispatchers: (pending notifications, pushes in flight)."""
-        return len(self.ledger.owed), self.owner.at.me.slots_out
+        return len(self.ledger.owed), self.owner.dispatcher.state.slots_out
 
     def check_ready(self):
         if self.replaced:
@@ -296,7 +296,7 @@
         with trio.move_on_after(time_limit - LAST_WORDS):
             if not self.replaced:
                 self.stops_at = self.world.clock.now() + int(time_limit * SEC)
-                await self.owner.tell(self.owner.at.stopping, self.stops_at)
+                await self.owner.tell(self.owner.dispatcher.plan_stop, self.stops_at)
             while not self.replaced and (
                 self.clients.open or self.ledger.owed or trio.current_time() < began + protocol.PATIENCE
             ):
--- a/juniperlanding/net/owner.py
+++ b/juniperlanding/net/owner.py
@@ -9,7 +9,7 @@
 import trio
 
 from juniperlanding import carry, rules
-from juniperlanding.choice import MS, NEVER_RAN, SEC, Dispatcher, repeats_until
+from juniperlanding.choice import MS, NOT_EXECUTED, SEC, Dispatcher, repeats_until
 from juniperlanding.ground.errors import system
 from juniperlanding.ground.log import described, where
 from juniperlanding.net import protocol
@@ -76,7 +76,7 @@
         self.iteration_delay = 0  # how late this iteration comes after the timer that it was due for
         self.stuck_since = 0
         self.logged_write_error = None
-        self.at = Dispatcher(self, config.settings, config.seed, self.now())
+        self.dispatcher = Dispatcher(self, config.settings, config.seed, self.now())
         # None: no lease is needed. Else `holds()` is the policy number under which new notifications may be
         # accepted, or None if there is none at present.
         self.licence = None
@@ -101,7 +101,7 @@
     # ---- policies
 
     def topic_indexes(self):
-        types = self.at.me.settings["topic_types"]
+        types = self.dispatcher.state.settings["topic_types"]
         return {topic.get("name"): index for index, topic in enumerate(types)}
 
     def bound(self, licence, terms):
@@ -112,7 +112,7 @@
         """Put a policy in force from this iteration on; what was accepted before keeps its topic types."""
         # An earlier process may have accepted notifications under the same number: its topic types stay.
         types = self.terms.get(number, settings["topic_types"])
-        self.at.settled(settings | {"topic_types": types})
+        self.dispatcher.update_settings(settings | {"topic_types": types})
         self.in_force, self.topics = number, self.topic_indexes()
         needed = {owed.under for owed in self.ledger.owed.values()} | {0}
         self.terms = {one: kept for one, kept in self.terms.items() if one in needed} | {number: types}
@@ -122,7 +122,7 @@
 
     def settings_for(self, owed):
         """The settings with the topic types that were in force when a notification was accepted."""
-        settings, types = self.at.me.settings, self.terms.get(owed.under)
+        settings, types = self.dispatcher.state.settings, self.terms.get(owed.under)
         return settings | {"topic_types": types} if types else settings
 
     # ---- the decision loop
@@ -130,19 +130,20 @@
     def begin(self, known, offer=None):
         """The first event: give the module the last known list and what is pending in the ledger, or let it
         continue from the state that the old process hands over, so that nothing starts anew."""
-        me = self.at.me
+        state = self.dispatcher.state
         if not (offer and self.inherit(offer)):
-            self.at.start()
+            self.dispatcher.start()
             self.guarded(self.listed, "cached", known)
         for owed in list(self.ledger.owed.values()):
             self.guarded(self.restore, owed)
-        for ntf_id in me.notifications.keys() - self.ledger.owed.keys():
-            self.guarded(self.at.withdrawn, ntf_id)
-        for ntf_id, number in me.pushes.keys() - self.endpoints.out.keys():
-            self.guarded(self.at.outcome, ntf_id, number, "reset")  # its connection was not handed over
+        for ntf_id in state.notifications.keys() - self.ledger.owed.keys():
+            self.guarded(self.dispatcher.withdraw, ntf_id)
+        for ntf_id, number in state.pushes.keys() - self.endpoints.out.keys():
+            # Its connection was not handed over.
+            self.guarded(self.dispatcher.outcome, ntf_id, number, "reset")
         for ntf_id, ttl_at in list(self.ledger.over.items()):
             self.taken.add(ntf_id)
-            self.call_at(max(ttl_at, self.at.now) + LAST_CALL, self.check_after_ttl, ntf_id)
+            self.call_at(max(ttl_at, self.dispatcher.now) + LAST_CALL, self.check_after_ttl, ntf_id)
         self.ready = True
 
     def inherit(self, offer):
@@ -151,8 +152,8 @@
         self.clients.inherit(self.nursery, offer.clients())
         try:
             offer.fits(self.config.settings)
-            carry.given_to(self.at.me, offer.state["module"], self.terms)
-        except carry.Unknown as error:
+            carry.import_state(self.dispatcher.state, offer.state["module"], self.terms)
+        except carry.UnreadableState as error:
             # The state is of another version. As after a kill, calls that were in flight may have run.
             self.log_line("upgrade", "the module begins from the ledger", why=str(error))
             offer.drop_calls()
@@ -162,29 +163,29 @@
         self.endpoints.inherit(self.nursery, offer.calls(), offer.idle())
         self.discovery.inherit(offer.state["revision"], offer.state["discovery"])
         self.discovery.subscribe(offer.state["following"])
-        for at in list(self.at.me.wakes):
-            self.timer(at - self.at.now, at)
+        for at in list(self.dispatcher.state.wakes):
+            self.timer(at - self.dispatcher.now, at)
         return True
 
     def restore(self, owed):
         """Give the module what an earlier process accepted, or post its notice again."""
         self.counters["restored"] += 1
         self.taken.add(owed.id)
-        self.call_at(max(owed.ttl_at, self.at.now) + LAST_CALL, self.check_after_ttl, owed.id)
+        self.call_at(max(owed.ttl_at, self.dispatcher.now) + LAST_CALL, self.check_after_ttl, owed.id)
         if owed.notice:
             self.counters["notices_due"] += 1
             return self.notices_due.append((owed.id, *owed.notice))
         self.held[owed.id] = None
-        if owed.id in self.at.me.notifications:
+        if owed.id in self.dispatcher.state.notifications:
             return  # handed over with all that the module knows of it
-        if owed.ttl_at <= self.at.now:
+        if owed.ttl_at <= self.dispatcher.now:
             # The earlier process may have reported this end without being able to write it; any other
             # outcome now would contradict it.
             return self.expired(owed.id)
         first_run = min(owed.ran.values(), key=lambda ran: ran[1], default=(0, 0))
-        current, self.at.me.settings = self.at.me.settings, self.settings_for(owed)
+        current, self.dispatcher.state.settings = self.dispatcher.state.settings, self.settings_for(owed)
         try:
-            self.at.notification(
+            self.dispatcher.notification(
                 owed.id,
                 self.topic_indexes().get(owed.topic, len(self.topics)),
                 owed.destination,
@@ -193,10 +194,10 @@
                 pushes=owed.pushes,
                 ran_zone=first_run[0],
                 ran_at=first_run[1],
-                unsent=not owed.left,
+                never_sent=not owed.left,
             )
         finally:
-            self.at.me.settings = current
+            self.dispatcher.state.settings = current
 
     async def run(self, nursery):
         """Iterate until the process is frozen and nothing that was started is left open.
@@ -210,7 +211,7 @@
     async def run_loop(self):
         while not (self.frozen and self.is_quiescent()):
             events = await self.receive_events()
-            self.at.now = now = self.now()
+            self.dispatcher.now = now = self.now()
             self.update_wall_clock()
             self.iteration_delay = max(0, now - self.timers[0][0]) if self.timers else 0
             for function, fields in events:
@@ -218,7 +219,7 @@
             while self.timers and self.timers[0][0] <= now:
                 self.guarded(*heapq.heappop(self.timers)[2:])
             if not self.frozen:
-                self.guarded(self.at.turn, rules.may_start(not self.stuck, self.frozen).is_allowed)
+                self.guarded(self.dispatcher.decide, rules.may_start(not self.stuck, self.frozen).is_allowed)
             self.write_iteration()
             self.carry_out()
             if self.parked.is_set():
@@ -229,9 +230,9 @@
 
         Dispatchers take turns by the wall clock, on which their machines agree; the process's own clock is
         shielded from its steps."""
-        ahead = self.clock.wall() - self.at.now
-        if abs(ahead - self.at.wall_clock_ahead) >= MIN_CLOCK_STEP:
-            self.at.wall_clock_ahead = ahead
+        ahead = self.clock.wall() - self.dispatcher.now
+        if abs(ahead - self.dispatcher.wall_clock_ahead) >= MIN_CLOCK_STEP:
+            self.dispatcher.wall_clock_ahead = ahead
 
     def park(self):
         """Take no iteration after this one. Cancelling the loop instead could lose an event that it took."""
@@ -258,7 +259,7 @@
 
         While the disk fails (`stuck`), outcomes of calls in flight still count, notifications that can no
         longer be delivered are ended, and new ones are rejected at once."""
-        if not self.stuck or self.at.now >= self.next_write_at:
+        if not self.stuck or self.dispatcher.now >= self.next_write_at:
             self.flush_ledger()
         if self.stuck:
             self.undo_iteration()
@@ -306,21 +307,21 @@
         for send, verdict in zip(sends, verdicts, strict=True):
             if not verdict.is_allowed:
                 self.trace.withheld(send.id, send.number, verdict.reason)
-                if verdict.reason in rules.BROKEN_BY_A_PATH:
+                if verdict.reason in rules.NOT_RECALLED_REASONS:
                     self.trace.violation(rules.Rule.SEND, send.id, reason=verdict.reason, endpoint=endpoint)
         return all(verdict.is_allowed for verdict in verdicts)
 
     def in_service(self, call):
         """Whether the endpoint of a call accepts new ones, by all lists so far."""
-        endpoint = self.at.me.endpoints.get(call.endpoint)
+        endpoint = self.dispatcher.state.endpoints.get(call.endpoint)
         return endpoint is not None and endpoint.state == "ready"
 
     def send_facts(self, endpoint, send):
         """What `rules.may_send` asks of one message of a call."""
-        notification = self.at.me.notifications.get(send.id)
-        listed = self.at.me.endpoints.get(endpoint)
+        notification = self.dispatcher.state.notifications.get(send.id)
+        listed = self.dispatcher.state.endpoints.get(endpoint)
         return rules.SendFacts(
-            is_owed=send.id in self.held and notification is not None and not send.over,
+            is_pending=send.id in self.held and notification is not None and not send.over,
             deadline=send.ttl_at,
             may_have_run=notification is not None and notification.may_have_run is not None,
             is_once_only=notification is not None and notification.topic.get("kind") == "once-only",
@@ -354,7 +355,7 @@
             return
         for key, sends in self.new_calls.items():
             for send in [send for send in sends if send.id in unleased]:
-                self.guarded(self.at.outcome, send.id, send.number, "moot")
+                self.guarded(self.dispatcher.outcome, send.id, send.number, "moot")
             self.new_calls[key] = [send for send in sends if send.id not in unleased]
         for ntf_id in unleased:
             self.counters.ended(self.ledger.owed[ntf_id].topic, DECLINED)
@@ -370,7 +371,7 @@
             # their clients get a 500, which promises nothing.
             self.log_line("ledger", "cannot write", why=described(error))
             self.stuck = True
-            self.next_write_at = self.at.now + WRITE_BACKOFF
+            self.next_write_at = self.dispatcher.now + WRITE_BACKOFF
             self.undo_iteration()
             for answer in rejected:
                 answer.status = 500
@@ -378,7 +379,7 @@
     def undo_iteration(self):
         """Undo what this iteration accepted and asked for, as none of it has started yet."""
         for send in [send for sends in self.new_calls.values() for send in sends]:
-            self.guarded(self.at.outcome, send.id, send.number, "moot")
+            self.guarded(self.dispatcher.outcome, send.id, send.number, "moot")
         self.new_calls.clear()
         for answer in self.answers:
             if self.held.get(answer.ntf_id) is answer:
@@ -398,7 +399,7 @@
             events.append(await self.inbox.receive())
         # After a suspension, expired timers would be handled before answers that have arrived meanwhile. The
         # first poll of the sockets may report nothing then (EINTR), so there has to be another.
-        for _ in range(1 if self.now() - self.at.now < SUSPENDED_AFTER else 3):
+        for _ in range(1 if self.now() - self.dispatcher.now < SUSPENDED_AFTER else 3):
             await trio.lowlevel.checkpoint()
         while len(events) < ROUND:
             try:
@@ -432,7 +433,7 @@
         """As the process ends, handle the events and answers that have arrived and no iteration has taken.
 
         A push that was answered with 200 would otherwise be given up after the restart, or sent once more."""
-        self.at.now = now = self.now()
+        self.dispatcher.now = now = self.now()
         with suppress(trio.WouldBlock):
             while True:
                 function, fields = self.inbox.receive_nowait()
@@ -454,7 +455,7 @@
         if not self.stuck:
             return due
         time_left = {
-            ntf_id: self.ledger.owed[ntf_id].ttl_at - self.at.now
+            ntf_id: self.ledger.owed[ntf_id].ttl_at - self.dispatcher.now
             for ntf_id, *_ in due
             if ntf_id in self.ledger.owed
         }
@@ -470,11 +471,13 @@
 
     def gauges(self):
         """The present values of the gauges, under the operators' names."""
-        listed = [endpoint for endpoint in self.at.me.endpoints.values() if endpoint.state != "gone"]
+        listed = [
+            endpoint for endpoint in self.dispatcher.state.endpoints.values() if endpoint.state != "gone"
+        ]
         return {
             "outstanding": len(self.held),
             "discovered": len(listed),
-            "ejected": sum(map(self.at.avoids, listed)),
+            "ejected": sum(map(self.dispatcher.is_ejected, listed)),
         }
 
     def listed(self, news, members):
@@ -482,10 +485,10 @@
             if self.endpoints.book.get(entry[0], address) != address:
                 self.endpoints.move(entry[0])
             self.endpoints.book[entry[0]], self.entries[entry[0]] = address, entry
-        self.at.listed(news, [entry for entry, _ in members])
+        self.dispatcher.update_endpoints(news, [entry for entry, _ in members])
         # An endpoint that a whole list leaves out is gone, although no entry names it.
         self.endpoints.recall({call.endpoint for call in self.endpoints.calls() if not self.in_service(call)})
-        for gone in self.entries.keys() - self.at.me.endpoints.keys():
+        for gone in self.entries.keys() - self.dispatcher.state.endpoints.keys():
             del self.endpoints.book[gone], self.entries[gone]
             self.told_waits.pop(gone, None)
 
@@ -502,13 +505,14 @@
             self.counters["unlicensed"] += 1
             self.trace.refused(ntf_id, rules.Reason.UNLICENSED)
             return self.counters.ended(topic, DECLINED)
-        facts = rules.TakeOnFacts(
+        facts = rules.AcceptFacts(
             is_writable=not self.stuck,
-            is_destination_known=destination in self.at.me.destinations,  # else the list is out of date
-            has_place=len(self.held) < self.at.me.settings.get("most_held", 1 << 30),
+            is_destination_known=destination
+            in self.dispatcher.state.destinations,  # else the list is out of date
+            has_place=len(self.held) < self.dispatcher.state.settings.get("most_held", 1 << 30),
             has_disk=self.ledger.room(len(body)),
         )
-        verdict = rules.may_take_on(facts)
+        verdict = rules.may_accept(facts)
         if self.watch and facts.is_writable and facts.is_destination_known:
             self.watch.handed_in(topic, destination)
         if not verdict.is_allowed:
@@ -520,7 +524,7 @@
             self.ledger.write("k", ntf_id, turn)
         self.held[ntf_id] = answer
         try:
-            self.at.notification(
+            self.dispatcher.notification(
                 ntf_id, self.topics[topic], destination, ttl_at=ttl_at, key=turn, tenant=tenant
             )
         except Exception:  # the client must not get a 202 for what the module does not have
@@ -537,13 +541,13 @@
 
         After a failure in one of its event functions, the module might never end the notification."""
         if not had_turn:  # if the process was suspended past the TTL, the module has had no turn since
-            return self.call_at(self.at.now + LAST_CALL // 4, self.check_after_ttl, ntf_id, True)
+            return self.call_at(self.dispatcher.now + LAST_CALL // 4, self.check_after_ttl, ntf_id, True)
         self.taken.discard(ntf_id)
         self.ledger.forget(ntf_id)
         if ntf_id in self.held:
             self.log_line("fault", "a notification was not ended in time", part="owner", notification=ntf_id)
             self.counters["faults"] += 1
-            self.at.withdrawn(ntf_id)
+            self.dispatcher.withdraw(ntf_id)
             self.expired(ntf_id)
 
     def unheard(self, answer):
@@ -555,16 +559,22 @@
 
     def undo_acceptance(self, ntf_id):
         self.taken.discard(ntf_id)
-        self.at.withdrawn(ntf_id)
+        self.dispatcher.withdraw(ntf_id)
         self.end(ntf_id, "x")
 
     def finished(self, endpoint, outcomes, heard):
         """`heard`: when the answer came. This iteration may run long after, and a delivery in time would look
         late."""
         for ntf_id, number, ending, latency, wait, over, report in outcomes:
-            if self.watch and ending == "delivered" and (ntf := self.at.me.notifications.get(ntf_id)):
+            if (
+                self.watch
+                and ending == "delivered"
+                and (ntf := self.dispatcher.state.notifications.get(ntf_id))
+            ):
                 in_time = over and ntf_id in self.held and heard < ntf.ttl_at
-                self.watch.answered(ntf, self.at.me.endpoints.get(endpoint), latency, in_time, heard)
+                self.watch.answered(
+                    ntf, self.dispatcher.state.endpoints.get(endpoint), latency, in_time, heard
+                )
             if over and ntf_id in self.held:
                 owed = self.ledger.owed[ntf_id]
                 in_time = ending == "delivered" and heard < owed.ttl_at  # else withdrawn, or too late
@@ -578,14 +588,16 @@
                     self.end(ntf_id)
             elif over:
                 self.end(ntf_id)
-            elif ending in NEVER_RAN:
+            elif ending in NOT_EXECUTED:
                 self.record_never_ran(ntf_id, number, ending)
             self.trace.event(ntf_id, ending, number=number, endpoint=endpoint, over=over, wait_ms=wait // MS)
-            if wait and endpoint in self.at.me.endpoints:
+            if wait and endpoint in self.dispatcher.state.endpoints:
                 same_route = self.endpoints_on_route(endpoint)
                 self.told_waits.update(dict.fromkeys(same_route, heard + wait))
                 self.endpoints.recall(same_route)
-            self.at.outcome(ntf_id, number, ending, latency=latency, wait=wait, over=over, report=report)
+            self.dispatcher.outcome(
+                ntf_id, number, ending, latency=latency, wait=wait, over=over, report=report
+            )
 
     def record_never_ran(self, ntf_id, number, ending):
         """Record that a push did not run.
@@ -599,8 +611,8 @@
 
     def endpoints_on_route(self, endpoint):
         """The endpoints to which a Retry-After wait of this one applies: all on its route."""
-        route = self.at.me.endpoints[endpoint].route
-        return {number for number, other in self.at.me.endpoints.items() if other.route is route}
+        route = self.dispatcher.state.endpoints[endpoint].route
+        return {number for number, other in self.dispatcher.state.endpoints.items() if other.route is route}
 
     def end(self, ntf_id, letter="e"):
         self.held.pop(ntf_id, None)
@@ -612,8 +624,9 @@
     # ---- what the module asks for (interface.Host)
 
     def push(self, ntf_id, endpoint_id, timeout, leave_within):
-        owed, now = self.ledger.owed[ntf_id], self.at.now
-        number = self.at.me.notifications[ntf_id].pushes - 1  # the ledger counts only those that left
+        owed, now = self.ledger.owed[ntf_id], self.dispatcher.now
+        # The ledger counts only those that left.
+        number = self.dispatcher.state.notifications[ntf_id].pushes - 1
         until = min(now + timeout, owed.ttl_at) if timeout else owed.ttl_at
         leave_by = now + leave_within if leave_within else until
         kind, _, zone = self.entries[endpoint_id][2:5]
@@ -650,7 +663,7 @@
         self.queue_notice(ntf_id, outcome, again_in)
 
     def queue_notice(self, ntf_id, outcome, again_in):
-        delay = self.at.now - self.ledger.owed[ntf_id].ttl_at
+        delay = self.dispatcher.now - self.ledger.owed[ntf_id].ttl_at
         if self.ready and delay - self.iteration_delay > MAX_END_DELAY:
             self.trace.violation(rules.Rule.LATE_END, ntf_id, late_ms=delay // MS)
         self.trace.event(ntf_id, outcome, again_in_ms=again_in // MS)
@@ -659,7 +672,7 @@
         self.notices_due.append((ntf_id, outcome, again_in // MS))
 
     def timer(self, delay, tok):
-        self.call_at(self.at.now + delay, self.at.wake, tok)
+        self.call_at(self.dispatcher.now + delay, self.dispatcher.wake, tok)
 
     def call_at(self, at, function, *fields):
         self.sequence += 1
--- a/juniperlanding/net/succession.py
+++ b/juniperlanding/net/succession.py
@@ -70,7 +70,7 @@
         pending: then the client connections are handed over all the same, and the decision module of the new
         process starts from the ledger."""
         try:
-            return cls.collect(node, carry.taken_from(node.owner.at.me, node.owner.terms))
+            return cls.collect(node, carry.export_state(node.owner.dispatcher.state, node.owner.terms))
         except Exception as error:
             node.log("fault", part="upgrade", why=described(error), at_line=where(error))
             return cls.collect(node, None)
@@ -161,12 +161,12 @@
         return [self.lock.file, self.listener.raw.fileno(), *(sock.raw.fileno() for sock in self.sockets)]
 
     def fits(self, settings):
-        """Raises `carry.Unknown` unless the decision module's records have this version's layout and were
-        made under the same settings."""
+        """Raises `carry.UnreadableState` unless the decision module's records have this version's layout
+        and were made under the same settings."""
         if self.state["version"] != carry.VERSION:
-            raise carry.Unknown("another version")
+            raise carry.UnreadableState("another version")
         if self.state["settings"] != settings_checksum(settings):
-            raise carry.Unknown("other settings")
+            raise carry.UnreadableState("other settings")
 
     def clients(self):
         """(line, seconds left for its request) of each client connection."""
--- a/juniperlanding/rules.py
+++ b/juniperlanding/rules.py
@@ -1,7 +1,7 @@
 """Whether something may be sent, closed or accepted now, and why not.  No I/O and no clock.
 
 Each code path asks here right before it acts: before the last byte of a call (`may_send`), the end of a
-client's connection (`may_close`), the acceptance of a notification (`may_take_on`), the start of calls
+client's connection (`may_close`), the acceptance of a notification (`may_accept`), the start of calls
 (`may_start`).  A plain record of facts goes in, a `Verdict` with its reason comes out."""
 
 import enum
@@ -42,7 +42,7 @@
 
 
 # Reasons that a code path must have found before the last byte; the others can arise by the passage of time.
-BROKEN_BY_A_PATH = frozenset({Reason.NOT_IN_SERVICE, Reason.TOLD_TO_WAIT, Reason.RAN_ONCE})
+NOT_RECALLED_REASONS = frozenset({Reason.NOT_IN_SERVICE, Reason.TOLD_TO_WAIT, Reason.RAN_ONCE})
 
 
 class Verdict(NamedTuple):
@@ -60,12 +60,12 @@
 class SendFacts:
     """One notification whose call is about to be complete.  Times are nanoseconds of the dispatcher's clock.
 
-    is_owed: it is pending, without a final answer; deadline: the end of its TTL; may_have_run: an earlier
+    is_pending: it is pending, without a final answer; deadline: the end of its TTL; may_have_run: an earlier
     call of it may have been executed; is_once_only: its topic type is; repeats_until: the end of its window
     for repeats; is_in_service: its endpoint is, by the last list; wait_until: the end of the Retry-After wait
     that its endpoint asked for."""
 
-    is_owed: bool
+    is_pending: bool
     deadline: int
     may_have_run: bool
     is_once_only: bool
@@ -87,7 +87,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TakeOnFacts:
+class AcceptFacts:
     """A notification that a client hands in, and the state of the process."""
 
     is_ready: bool = True
@@ -108,7 +108,7 @@
 def may_send(facts, now):
     """Whether the last byte of a call that carries this notification may leave."""
     return first_objection(
-        (not facts.is_owed, Reason.ENDED),
+        (not facts.is_pending, Reason.ENDED),
         (facts.may_have_run and facts.is_once_only, Reason.RAN_ONCE),
         (not facts.is_in_service, Reason.NOT_IN_SERVICE),
         (now < facts.wait_until, Reason.TOLD_TO_WAIT),
@@ -125,7 +125,7 @@
     )
 
 
-def may_take_on(facts):
+def may_accept(facts):
     """Whether a notification may be accepted."""
     return first_objection(
         (not facts.is_ready, Reason.STARTING),
--- a/juniperlanding/series.py
+++ b/juniperlanding/series.py
@@ -1,6 +1,6 @@
 """A series for the forecaster, for parts that forecast something else than a destination's latencies.
 
-It has the fields that `choice.learn` and `choice.forecast` read and write.  No I/O, clock or trio."""
+It has the fields that `choice.add_sample` and `choice.forecast` read and write.  No I/O, clock or trio."""
 
 from dataclasses import dataclass, field
 
@@ -10,10 +10,10 @@
     """Fields as in `state.Destination`; last_at: when the last sample came, for users that need it."""
 
     samples: int = 0
-    series: list = field(default_factory=list)
+    recent: list = field(default_factory=list)
     mean: float = 0.0
-    smooth: float = 0.0
+    ewma: float = 0.0
     errors: list = field(default_factory=list)
     forecast: int = 0
-    miss: int = 0
+    rmse: int = 0
     last_at: int = 0
--- a/juniperlanding/settings.py
+++ b/juniperlanding/settings.py
@@ -65,7 +65,7 @@
     return "once-only" if is_group_unknown else KIND_OF_EFFECT.get(entry.get("effect"), "once-only")
 
 
-def in_our_words(wire):
+def translate_settings(wire):
     """The module's settings from the operators' settings, `wire`, as read from JSON."""
     settings = {}
     for path, name in SETTING_NAMES.items():
--- a/juniperlanding/shards/growth.py
+++ b/juniperlanding/shards/growth.py
@@ -1,11 +1,11 @@
 """How one shard's live bytes will grow, by the program's own forecaster.
 
 Each second a `Growth` is told what was written, what ended and what is live, in bytes.  Three records are
-forecast with `choice.learn`, fields as the forecaster's of a destination: what comes in a second, by how much
-live grows in it, and how long a byte stays (live over what ended, in ns).  A record's error is that of one
-second; over several seconds errors add as the roots of their squares do."""
+forecast with `choice.add_sample`, fields as the forecaster's of a destination: what comes in a second, by
+how much live grows in it, and how long a byte stays (live over what ended, in ns).  A record's error is that
+of one second; over several seconds errors add as the roots of their squares do."""
 
-from juniperlanding.choice import SAMPLES, SEC, learn
+from juniperlanding.choice import MIN_SAMPLES, SEC, add_sample
 from juniperlanding.series import Series
 
 BAND = 2  # roots of the MSE from the forecast to the earlier edge
@@ -17,9 +17,9 @@
 
     def edge(self, seconds=1):
         """The upper edge of the sum over so many seconds, or None while there are too few samples."""
-        if self.samples < SAMPLES:
+        if self.samples < MIN_SAMPLES:
             return None
-        return self.forecast * seconds + BAND * self.miss * seconds**0.5
+        return self.forecast * seconds + BAND * self.rmse * seconds**0.5
 
 
 class Growth:
@@ -32,18 +32,18 @@
     def sample(self, written, ended, live):
         """What was written and ended in the last second, and what is live now, in bytes."""
         if self.sampled:
-            learn(self.come, written)
-            learn(self.grown, live - self.live)
+            add_sample(self.come, written)
+            add_sample(self.grown, live - self.live)
             if ended > 0:
-                learn(self.stay, (live + self.live) // 2 * SEC // ended)
+                add_sample(self.stay, (live + self.live) // 2 * SEC // ended)
         self.live, self.sampled = live, self.sampled + 1
 
     def settles(self):
         """The upper edge of the live bytes at which it comes to rest if what comes and stays goes on as
         forecast; None while that cannot be told."""
-        if min(self.come.samples, self.stay.samples) < SAMPLES:
+        if min(self.come.samples, self.stay.samples) < MIN_SAMPLES:
             return None
-        seconds = max(1.0, (self.stay.forecast + BAND * self.stay.miss) / SEC)
+        seconds = max(1.0, (self.stay.forecast + BAND * self.stay.rmse) / SEC)
         return self.come.edge(seconds)
 
     def at(self, seconds):
@@ -51,12 +51,12 @@
 
         Threat: a short peak; what is owed ends, so growth goes no further than to where it comes to rest,
         and beyond that only as far as it varies while a byte stays."""
-        if self.grown.samples < SAMPLES:
+        if self.grown.samples < MIN_SAMPLES:
             return self.live
         reached, rest = self.live + max(0.0, self.grown.edge(seconds)), self.settles()
         if rest is None:
             return reached
-        varies = BAND * self.grown.miss * min(seconds, max(1.0, self.stay.forecast / SEC)) ** 0.5
+        varies = BAND * self.grown.rmse * min(seconds, max(1.0, self.stay.forecast / SEC)) ** 0.5
         return min(reached, max(self.live + varies, rest))
 
     def left(self, bound):
@@ -82,12 +82,12 @@
                 name,
                 Record(
                     one.samples,
-                    [value * by for value in one.series],
+                    [value * by for value in one.recent],
                     one.mean * by,
-                    one.smooth * by,
+                    one.ewma * by,
                     [error * by * by for error in one.errors],
                     int(one.forecast * by),
-                    int(one.miss * by),
+                    int(one.rmse * by),
                 ),
             )
         return found
--- a/juniperlanding/shards/part.py
+++ b/juniperlanding/shards/part.py
@@ -49,7 +49,7 @@
             growth = self.growth.get(shard) or Growth()
             lines.append(
                 f"{shard.low}-{shard.high} {shard.name} live={shard.live} "
-                f"rate={growth.grown.forecast} band={2 * growth.grown.miss} "
+                f"rate={growth.grown.forecast} band={2 * growth.grown.rmse} "
                 f"left={seconds(growth.left(self.bounds.most))}"
             )
         left = self.total.left(self.ledger.most_owed)
--- a/juniperlanding/shards/plan.py
+++ b/juniperlanding/shards/plan.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from juniperlanding.choice import SAMPLES, SEC, learn
+from juniperlanding.choice import MIN_SAMPLES, SEC, add_sample
 from juniperlanding.shards.growth import BAND, Growth, Record
 
 START_TIME = 400  # ns a byte that a rewrite takes, until three were seen
@@ -69,15 +69,15 @@
     def lead(self, size):
         """How long before the bound a split of so many bytes must begin: its own time and the wait."""
         each = START_TIME
-        if self.times.samples >= SAMPLES:
-            each = self.times.forecast + BAND * self.times.miss
-        wait = self.waits.forecast + BAND * self.waits.miss if self.waits.samples >= SAMPLES else 0
+        if self.times.samples >= MIN_SAMPLES:
+            each = self.times.forecast + BAND * self.times.rmse
+        wait = self.waits.forecast + BAND * self.waits.rmse if self.waits.samples >= MIN_SAMPLES else 0
         return max(LEAST_TIME, size * each) + max(SEC, wait) + SEC  # the last: until it is looked at again
 
     def done(self, size, took, waited):
         """A rewrite of so many bytes came to its end."""
-        learn(self.times, took // max(size, 1))
-        learn(self.waits, waited)
+        add_sample(self.times, took // max(size, 1))
+        add_sample(self.waits, waited)
         self.failures = 0
 
     def failed(self, now):
--- a/juniperlanding/sites/figures.py
+++ b/juniperlanding/sites/figures.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from juniperlanding.choice import MS, SEC, Dispatcher, Pick, benefit, learn
+from juniperlanding.choice import MS, SEC, Dispatcher, EndpointSelection, add_sample, benefit
 from juniperlanding.fleet.words import MOST_FIGURES
 from juniperlanding.series import Series
 from juniperlanding.state import Endpoint, Instance, Push
@@ -153,7 +153,7 @@
         key = ntf.destination.id, site
         if key in self.answers or len(self.answers) < MOST_SERIES:
             series = self.answers.setdefault(key, Series())
-            learn(series, latency)
+            add_sample(series, latency)
             series.last_at = now
         if crossed:
             self.rates.add(("crossed", name), now)
@@ -182,7 +182,7 @@
             series = self.answers.get((destination, site))
             rest = series and series.last_at + ANSWERS_BELIEVED - now
             if series and rest > 0 and series.errors:
-                found.append((at, series.forecast // 1000, series.miss // 1000, rest // MS))
+                found.append((at, series.forecast // 1000, series.rmse // 1000, rest // MS))
         return tuple(found)
 
     def forget(self, now):
@@ -242,7 +242,7 @@
     made = Dispatcher(
         host, {"slots": slots, "scale_kind": "nominal", "topic_types": [{"ttl": 1000 * SEC}]}, "", late
     )
-    made.listed(
+    made.update_endpoints(
         "whole",
         [
             (f"{at}/{number}", number, 0, 1e9, 0, "ready")
@@ -252,32 +252,32 @@
     )
     for number in range(destinations):
         made.notification(f"w{number}", 0, number)
-    made.turn()  # paces begin to fill
-    for call in [push.call for push in made.me.pushes.values()]:
+    made.decide()  # paces begin to fill
+    for call in [push.call for push in made.state.pushes.values()]:
         made.outcome(call.pushes[0].ntf.id, call.pushes[0].number, "delivered", over=True, latency=MS)
     host.pushed = 0
     for at in range(slots):
         for number in range(destinations):
             made.notification(f"{at}/{number}", 0, number)
     made.now += 10 * SEC
-    made.turn()
+    made.decide()
     return host.pushed
 
 
 class Anywhere:
-    """What `Pick` asks of its dispatcher: where it stands, if its own site goes first."""
+    """What `EndpointSelection` asks of its dispatcher: where it stands, if its own site goes first."""
 
     def __init__(self, near):
-        self.me = Instance({"zone": near, "crossing_price": 1}, 0, 0, 1)
+        self.state = Instance({"zone": near, "crossing_price": 1}, 0, 0, 1)
 
 
 def picked(endpoints, near):
-    """The idle endpoints in the order in which `choice.Pick` takes them, `MOST_ORDER` at most."""
-    pick, order = Pick(Anywhere(near)), []
+    """Idle endpoints in the order in which `choice.EndpointSelection` takes them: `MOST_ORDER` at most."""
+    pick, order = EndpointSelection(Anywhere(near)), []
     idle = {Endpoint(e.id, None, None, e.kind, e.zone, e.rank): e for e in endpoints}
     while idle and len(order) < MOST_ORDER:
-        push = Push(None, 0, options=list(idle))
-        pick.out(push)
+        push = Push(None, 0, candidates=list(idle))
+        pick.admit(push)
         order.append(idle.pop(push.endpoint))
     return order
 
@@ -289,5 +289,5 @@
     made = Dispatcher(host, {"topic_types": named, "most_held": 1, "slots": 0}, "", SEC)
     for at, topic in enumerate(named):
         made.notification(topic.get("name"), at, 1, ttl_at=SEC + topic.get("ttl", SEC))
-    made.shed([made.destination(1)])
+    made.shed_load([made.destination(1)])
     return host.refused
--- a/juniperlanding/sites/outage.py
+++ b/juniperlanding/sites/outage.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from math import hypot
 
-from juniperlanding.choice import FACTOR, SAMPLES, SEC, learn
+from juniperlanding.choice import MIN_SAMPLES, SEC, TIMEOUT_ERROR_FACTOR, add_sample
 from juniperlanding.series import Series
 from juniperlanding.sites.figures import SPAN
 from juniperlanding.sites.project import MILLI, Estimate, Projection, together
@@ -78,7 +78,7 @@
     def is_back(self, site, now):
         out, site.state, site.since, site.outage = site.outage, WHOLE, now, None
         for key, (mean, _) in out.missed.items():
-            learn(self.errors.setdefault(key, Series()), int(mean * PPM))
+            add_sample(self.errors.setdefault(key, Series()), int(mean * PPM))
         figures = {"site": site.name, "after_s": f"{(now - out.since) / SEC:.1f}"} | summary(out.foretold)
         if out.seen:
             for measure in ("refused", "lost", "crossings"):
@@ -109,7 +109,7 @@
                 value, offered = came[name][measure], line.offered * worth
                 mean, looks = out.seen.get((measure, name), (0.0, 0))
                 out.seen[measure, name] = (mean + (value - mean) / (looks + 1), looks + 1)
-                learn(out.rest.setdefault((measure, name), Series()), int(value * PPM))
+                add_sample(out.rest.setdefault((measure, name), Series()), int(value * PPM))
                 estimate = getattr(line, measure)
                 out.held, out.compared = out.held + estimate.holds(value), out.compared + 1
                 if offered:
@@ -117,7 +117,7 @@
                     missed = (value - estimate.model) / offered
                     mean, looks = out.missed.get((measure, name), (0.0, 0))
                     out.missed[measure, name] = mean + (missed - mean) / (looks + 1), looks + 1
-                    learn(self.windows.setdefault((measure, name), Series()), int(missed * PPM))
+                    add_sample(self.windows.setdefault((measure, name), Series()), int(missed * PPM))
 
     def error(self, measure, name):
         """(bias, root of the MSE, how many) of earlier projections, as shares; None while there are too
@@ -126,10 +126,10 @@
         Threat: windows of one outage miss alike, and a projection mended by them misses the next one the
         other way; so they make the band alone, and only whole outages mend."""
         series, windows = self.errors.get((measure, name)), self.windows.get((measure, name))
-        if series and series.samples >= SAMPLES:
-            return series.forecast / PPM, series.miss / PPM, series.samples
-        if windows and windows.samples >= SAMPLES:
-            return 0.0, hypot(windows.forecast, windows.miss) / PPM, windows.samples
+        if series and series.samples >= MIN_SAMPLES:
+            return series.forecast / PPM, series.rmse / PPM, series.samples
+        if windows and windows.samples >= MIN_SAMPLES:
+            return 0.0, hypot(windows.forecast, windows.rmse) / PPM, windows.samples
         return None
 
     def rest(self, site):
@@ -138,12 +138,12 @@
         return {
             key: Estimate(
                 s.forecast / PPM,
-                max(0.0, (s.forecast - FACTOR * s.miss) / PPM),
-                (s.forecast + FACTOR * s.miss) / PPM,
+                max(0.0, (s.forecast - TIMEOUT_ERROR_FACTOR * s.rmse) / PPM),
+                (s.forecast + TIMEOUT_ERROR_FACTOR * s.rmse) / PPM,
                 s.samples,
             )
             for key, s in (out.rest.items() if out else ())
-            if s.samples >= SAMPLES
+            if s.samples >= MIN_SAMPLES
         }
 
 
--- a/juniperlanding/sites/part.py
+++ b/juniperlanding/sites/part.py
@@ -5,7 +5,7 @@
 import msgspec
 import trio
 
-from juniperlanding.choice import MS, SEC, Rate, known
+from juniperlanding.choice import MS, SEC, RateLimit, known_limit
 from juniperlanding.fleet.words import ALIVE, DEAD, LEFT, SUSPECT
 from juniperlanding.ground.log import described, where
 from juniperlanding.ground.part import Part
@@ -38,7 +38,7 @@
 
     @property
     def topics(self):
-        return self.node.owner.at.me.settings["topic_types"]
+        return self.node.owner.dispatcher.state.settings["topic_types"]
 
     # ---- what the owner says, in its rounds
 
@@ -73,7 +73,7 @@
         """What earlier projections missed, so that a replacement forgets nothing."""
         return {
             name: {
-                "/".join(key): [s.samples, s.series, s.mean, s.smooth, s.errors, s.forecast, s.miss]
+                "/".join(key): [s.samples, s.recent, s.mean, s.ewma, s.errors, s.forecast, s.rmse]
                 for key, s in getattr(self.outages, name).items()
             }
             for name in LEARNT
@@ -104,7 +104,7 @@
         if not view:
             return
         now = self.now()
-        self.mine = self.figures(owner.at, now)
+        self.mine = self.figures(owner.dispatcher, now)
         view.figures = words.encoded(self.mine)
         members, self.named = self.members(now), self.prices()
         names = sorted({member.site for member in members if member.site})
@@ -131,7 +131,9 @@
             self.log("sites", event, sure=f"{view.sure():.2f}", **fields)
 
     def price(self, source, target):
-        return self.named.get((source, target), self.node.owner.at.me.settings.get("crossing_price"))
+        return self.named.get(
+            (source, target), self.node.owner.dispatcher.state.settings.get("crossing_price")
+        )
 
     def members(self, now):
         """All of the view as the projection takes them.  Threat: a projection from what is known only here
@@ -158,17 +160,17 @@
 
     def figures(self, at, now):
         """The plain value of this dispatcher, from its owner's records as they are at this moment."""
-        me, ledger, counters = at.me, self.node.ledger, self.node.counters
+        state, ledger, counters = at.state, self.node.ledger, self.node.counters
         for topic in self.topics:
             name = topic.get("name")
             ended = counters.unserved(name)
             self.seen.refused(name, ended - self.ended.get(name, ended), now)
             self.ended[name] = ended
         self.seen.forget(now)
-        near = me.settings.get("zone") if me.settings.get("crossing_price") else None
+        near = state.settings.get("zone") if state.settings.get("crossing_price") else None
         sites = tuple(dict.fromkeys([self.agent.told.site, *self.node.config.zones, "?"]))[: words.MOST_SITES]
         places = [
-            self.place(dest, sites, near, at, now) for dest in me.destinations.values() if dest.endpoints
+            self.place(dest, sites, near, at, now) for dest in state.destinations.values() if dest.endpoints
         ]
         places.sort(key=lambda place: (-place.taken, place.destination))
         each = ledger.owed_size // len(ledger.owed) + 1 if ledger.owed else RECORD
@@ -178,14 +180,14 @@
             sites,
             tuple(self.seen.kind(topic.get("name"), now) for topic in self.topics),
             tuple(places[:256]),
-            min(me.settings.get("slots", 1 << 20), 1 << 20),
-            max(0, min(me.settings.get("most_held", 1 << 20), 1 << 30) - len(self.node.owner.held)),
+            min(state.settings.get("slots", 1 << 20), 1 << 20),
+            max(0, min(state.settings.get("most_held", 1 << 20), 1 << 30) - len(self.node.owner.held)),
             max(0, ledger.most_owed - ledger.owed_size) // each,
             near=near is not None,
         )
 
     def place(self, dest, sites, near, at, now):
-        here = [e for e in dest.endpoints if e.state == "ready" and not e.down]
+        here = [e for e in dest.endpoints if e.state == "ready" and not e.ejected]
         order = words.picked(here, near)
         apart = len({id(e.route) for e in here}) > 1
         pace = self.pace(here[0].route, at, now) if here else words.UNKNOWN
@@ -203,7 +205,9 @@
         """What may be offered a route, in thousandths a second: the rule's, or after throttling the
         present."""
         steady = at.now - route.slowed_at > SLOWED or not route.slowed_at
-        allowed = Rate(at).most(route) if known(route) and steady else 0 if steady else route.pace
+        allowed = (
+            RateLimit(at).max_rate(route) if known_limit(route) and steady else 0 if steady else route.rate
+        )
         return int(1000 * allowed) if allowed else words.UNKNOWN
 
     # ---- what staff read
--- a/juniperlanding/sites/play.py
+++ b/juniperlanding/sites/play.py
@@ -70,8 +70,8 @@
             for place, site in enumerate(order):
                 entries.append(((destination, place), destination, 0, pace / self.scale, site, "ready"))
                 self.sites[destination, place] = site
-        self.at.listed("whole", entries)
-        for (_, place), endpoint in self.at.me.endpoints.items():
+        self.at.update_endpoints("whole", entries)
+        for (_, place), endpoint in self.at.state.endpoints.items():
             endpoint.rank = place
         self.ends = {topic.get("name"): Ends() for topic in topics}
         self.measured = {}  # notification -> its topic type, of those that count
@@ -93,7 +93,7 @@
                 self.ends[topic].offered += 1
             self.at.now = at
             self.at.notification(n, names.index(topic), destination)
-            self.at.turn()
+            self.at.decide()
             steps += 1
             if steps % SLICE == 0:
                 yield
@@ -104,7 +104,7 @@
             at, _, what, fields = heappop(self.heap)
             self.at.now = at
             what(*fields)
-            self.at.turn()
+            self.at.decide()
 
     def later(self, at, what, *fields):
         self.sequence += 1
@@ -123,15 +123,15 @@
         destination, _ = endpoint_id
         site = self.sites[endpoint_id]
         time, miss = self.answers[destination][site]
-        push = self.at.me.notifications[ntf_id].pushes
+        push = self.at.state.notifications[ntf_id].pushes
         drawn = NORMAL.inv_cdf(min(max((ntf_id * STEPS[2] + push * STEPS[3]) % 1, 0.001), 0.999))
         lasts = int(max(time / 4, time + miss * drawn, 0.0001) * SEC)
         ending, lasts = ("timeout", timeout) if 0 < timeout < lasts else ("delivered", lasts)
         self.later(self.at.now + lasts, self.outcome, ntf_id, push, ending, lasts, site)
 
     def outcome(self, ntf_id, number, ending, latency, site):
-        ntf = self.at.me.notifications.get(ntf_id)
-        if ending == "delivered" and (ntf_id, number - 1) in self.at.me.pushes:
+        ntf = self.at.state.notifications.get(ntf_id)
+        if ending == "delivered" and (ntf_id, number - 1) in self.at.state.pushes:
             self.ended(ntf, site)
         self.at.outcome(ntf_id, number - 1, ending, latency=latency, over=ending == "delivered")
 
--- a/juniperlanding/sites/project.py
+++ b/juniperlanding/sites/project.py
@@ -9,7 +9,7 @@
 from heapq import heappop, heappush
 from math import log, sqrt
 
-from juniperlanding.choice import FACTOR, SEC, SHED_AT, Pick, benefit
+from juniperlanding.choice import SEC, SHED_ABOVE_SHARE, TIMEOUT_ERROR_FACTOR, EndpointSelection, benefit
 from juniperlanding.sites import figures as told
 from juniperlanding.sites.play import Play
 from juniperlanding.state import Endpoint, Notification, Push, Route
@@ -263,7 +263,7 @@
         lasts = sum(part * self.lasts(number) for number, part in self.mix.items())
         bounds = [(self.calls - self.busy()) / lasts] if lasts else []
         if lasts:
-            bounds += [self.figures.held * SHED_AT / lasts, self.figures.records / lasts]
+            bounds += [self.figures.held * SHED_ABOVE_SHARE / lasts, self.figures.records / lasts]
         for number, part in self.mix.items():
             if number in self.order and part:
                 place, left, _ = self.order[number]
@@ -421,7 +421,8 @@
         ]
         return (
             carried * sum(part * fades(topic, lasts) for part, lasts, _ in found),
-            carried * sum(part * fades(topic, lasts + FACTOR * miss) for part, lasts, miss in found),
+            carried
+            * sum(part * fades(topic, lasts + TIMEOUT_ERROR_FACTOR * miss) for part, lasts, miss in found),
         )
 
 
@@ -451,11 +452,14 @@
     """Bands: of own errors where there are enough, else of the forecasts' own, of chance, and of who is
     unknown."""
     errors = errors or (lambda measure, topic: None)
-    swing = FACTOR * sqrt(sum(s.offered for s in sums.values()) / told.LOAD_SPAN)
+    swing = TIMEOUT_ERROR_FACTOR * sqrt(sum(s.offered for s in sums.values()) / told.LOAD_SPAN)
     for name in order:
         s = sums[name]
         # Threat: a few more or fewer a second by chance alone are no wrong projection.
-        chance = [FACTOR * sqrt(max(count, 1 / told.SPAN) / told.SPAN) for count in (s.refused, s.crossings)]
+        chance = [
+            TIMEOUT_ERROR_FACTOR * sqrt(max(count, 1 / told.SPAN) / told.SPAN)
+            for count in (s.refused, s.crossings)
+        ]
         if s.refused > TO_SPARE * s.offered:  # what is over is the difference of two large figures
             chance[0] = max(chance[0], swing)
         blind, whole = s.offered * stand_ins / (1 + stand_ins), s.offered * s.whole
@@ -486,7 +490,7 @@
     """An estimate with so much under and over it; where it is known what earlier ones missed, mended by the
     bias and wide by 2 x the root of the MSE if that is more."""
     bias, miss, count = error if error and offered else (0.0, 0.0, 0)
-    at, band = max(0.0, value + bias * offered), FACTOR * miss * offered
+    at, band = max(0.0, value + bias * offered), TIMEOUT_ERROR_FACTOR * miss * offered
     return Estimate(at, max(0.0, at - max(under, band)), at + max(over, band), count, value)
 
 
@@ -517,19 +521,20 @@
 
 @lru_cache(4096)
 def spread_over(order, near, out):
-    """site -> share of the calls that go there when `out` are out at once in the mean: `choice.Pick` over
-    endpoints whose sites stand in the order of its rank, for some calls that come and end unevenly.
+    """site -> share of the calls that go there when `out` are out at once in the mean:
+    `choice.EndpointSelection` over endpoints whose sites stand in the order of its rank, for some calls that
+    come and end unevenly.
 
     Chance is two sequences that fill the unit evenly, so that few calls are enough and equal ones fare
     alike."""
     endpoints = [Endpoint(at, None, Route(), 0, site, at) for at, site in enumerate(order)]
-    pick, placed, ends, now = Pick(told.Anywhere(near)), dict.fromkeys(order, 0), [], 0.0
+    pick, placed, ends, now = EndpointSelection(told.Anywhere(near)), dict.fromkeys(order, 0), [], 0.0
     for number in range(1, MOST_PLACED + 1) if out > 0 else ():
         now -= log(1 - number * EVENLY[0] % 1) / out
         while ends and ends[0][0] <= now:
             heappop(ends)[2].calls.pop()
-        push = Push(None, 0, options=endpoints)
-        pick.out(push)
+        push = Push(None, 0, candidates=endpoints)
+        pick.admit(push)
         push.endpoint.calls.append(push)
         heappush(ends, (now - log(1 - number * EVENLY[1] % 1), number, push.endpoint))
         placed[push.endpoint.zone] += 1
--- a/juniperlanding/soak/verdict.py
+++ b/juniperlanding/soak/verdict.py
@@ -59,9 +59,9 @@
     until = due
     for life, later in zip(history.lives[instance], history.lives[instance][1:] + [None], strict=True):
         left_at = min(at for at in (life.told_to_end_at or 1 << 62, life.ended_at or 1 << 62))
-        back_at = later.ready_at if later else 0
+        warming_since = later.ready_at if later else 0
         if left_at <= until and later:
-            until = max(until, (back_at or 1 << 62) + AFTER_RESTART)
+            until = max(until, (warming_since or 1 << 62) + AFTER_RESTART)
     return until
 
 
--- a/juniperlanding/state.py
+++ b/juniperlanding/state.py
@@ -22,7 +22,7 @@
 
     ntf: "Notification"
     number: int  # among the pushes of its notification, from 0
-    options: list = field(
+    candidates: list = field(
         default_factory=list
     )  # endpoints that it may still go to while the stages narrow them
     endpoint: "Endpoint | None" = None
@@ -47,12 +47,13 @@
     ttl_at: int
     key: int = 0  # of its order, where the topic type is ordered
     pushes: int = 0
-    unsent: bool = False  # accepted by an earlier process; no endpoint has seen a push of it
+    never_sent: bool = False  # accepted by an earlier process; no endpoint has seen a push of it
     timeout_doublings: int = 0
     in_flight: Push | None = None
     not_before: int = 0
     may_have_run: Push | None = None  # the first push that may have been executed
-    counts: float = 1.0  # share of its benefit that counts; less where its tenant is over its allowance
+    # Share of its benefit that counts; less where its tenant is over its allowance.
+    benefit_share: float = 1.0
     finished: bool = False
 
 
@@ -64,7 +65,7 @@
     wait_until: int = 0
     throttle_run: int = 0  # throttled in a row; calls throttled together count once
     throttled_since: int = 0  # nothing was delivered since
-    pace: float = 0.0  # calls a second that this dispatcher may make
+    rate: float = 0.0  # calls a second that this dispatcher may make
     reported_limit: float = 0.0  # calls a second
     tokens: float = 1.0
     filled_at: int = 0
@@ -85,15 +86,15 @@
     state: str = "ready"  # or draining, gone
     calls: list = field(default_factory=list)
     trouble: float = 0.0  # failure score from 0 to 1, an exponentially weighted mean
-    bad_since: int = 0  # begin of the failures in a row
-    run: int = 0  # their number; silence counts as two, a silent connect as three
+    failing_since: int = 0  # begin of the failures in a row
+    failure_run: int = 0  # their number; silence counts as two, a silent connect as three
     delivered_at: int = 0
     connection_refused_at: int = 0
     idle_since: int = 0  # when its last call ended
     uncounted_reset_idle: int = 0  # idle time of the connection whose reset was not counted as a failure
-    down: bool = False  # ejected
-    trial_at: int = 0  # earliest time of the next push while it fails, of the next probe while it is ejected
-    back_at: int = 0  # begin of its slow start
+    ejected: bool = False  # by outlier detection
+    probe_at: int = 0  # earliest time of the next push while it fails, of the next probe while it is ejected
+    warming_since: int = 0  # begin of its slow start
     tokens: float = 0.0  # of its slow start
     filled_at: int = 0
 
@@ -110,12 +111,12 @@
     last_served: int = 0  # number of the call in the count over all destinations
     delivery_rate: float = 0.0  # deliveries a second, as of delivery_rate_at
     samples: int = 0
-    series: list = field(default_factory=list)  # the most recent latencies
+    recent: list = field(default_factory=list)  # the most recent latencies
     mean: float = 0.0
-    smooth: float = 0.0  # exponentially weighted mean
+    ewma: float = 0.0  # exponentially weighted mean
     errors: list = field(default_factory=list)  # sum of squared errors of each predictor
     forecast: int = 0
-    miss: int = 0  # root mean square error of the forecast
+    rmse: int = 0  # root mean square error of the forecast
     timeout_doublings: int = 0
     calls_out: int = 0
     idle_until: int = 0  # nothing may be sent before
@@ -140,8 +141,9 @@
     own_loss: float = 0.0  # this dispatcher's own share of failures over all endpoints
     refusing_kinds: set = field(default_factory=set)  # kinds of which an endpoint has refused a connection
     keys: dict = field(default_factory=dict)  # pending notifications of each ordered key, in order
-    key_rest: dict = field(default_factory=dict)  # key -> (held until, notification, call that may still run)
-    tenants: dict = field(default_factory=dict)  # tenant -> time up to which its allowance is used
+    # Key -> (held until, notification, call that may still run).
+    key_holds: dict = field(default_factory=dict)
+    tenant_next_at: dict = field(default_factory=dict)  # tenant -> time up to which its allowance is used
     wakes: set = field(default_factory=set)  # timers that are set
     list_failures: int = 0
     subscribe_at: int = 0
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -64,9 +64,11 @@
             "fall_within": 2 * SEC,
             "topic_types": TOPICS,
         }
-        self.at = Dispatcher(self.host, basic | settings, seed=7, now=100 * SEC)
-        self.at.start()
-        self.at.listed("cached", [(10 + n, 1, 0, scale, 0, "ready") for n in range(endpoints)])
+        self.dispatcher = Dispatcher(self.host, basic | settings, seed=7, now=100 * SEC)
+        self.dispatcher.start()
+        self.dispatcher.update_endpoints(
+            "cached", [(10 + n, 1, 0, scale, 0, "ready") for n in range(endpoints)]
+        )
         self.count = 0
 
     @property
@@ -75,17 +77,21 @@
 
     def take(self, topic=REPEATABLE, destination=1, ttl=20, key=0):
         self.count += 1
-        self.at.notification(self.count, topic, destination, ttl_at=self.at.now + int(ttl * SEC), key=key)
+        self.dispatcher.notification(
+            self.count, topic, destination, ttl_at=self.dispatcher.now + int(ttl * SEC), key=key
+        )
         return self.count
 
     def turn(self, after=0.0):
-        self.at.now += int(after * SEC)
-        self.at.turn()
+        self.dispatcher.now += int(after * SEC)
+        self.dispatcher.decide()
         return len(self.pushed)
 
     def end(self, ntf, ending, after=0.1, number=0, **more):
-        self.at.now += int(after * SEC)
-        self.at.outcome(ntf, number, ending, latency=int(after * SEC), over=ending == "delivered", **more)
+        self.dispatcher.now += int(after * SEC)
+        self.dispatcher.outcome(
+            ntf, number, ending, latency=int(after * SEC), over=ending == "delivered", **more
+        )
 
     def deliver(self, times=4, after=0.1, topic=REPEATABLE):
         for _ in range(times):
@@ -95,7 +101,7 @@
             self.turn(1)
 
     def endpoint(self, number=10):
-        return self.at.me.endpoints[number]
+        return self.dispatcher.state.endpoints[number]
 
 
 @pytest.fixture
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -10,7 +10,7 @@
 
 from juniperlanding.drill import codec
 from juniperlanding.drill.host import Drill
-from juniperlanding.settings import in_our_words
+from juniperlanding.settings import translate_settings
 
 
 def frame(*records, number=1, now=100 * 10**9):
@@ -128,10 +128,10 @@
 def test_lists_resolve_in_event_order_and_stop_forgets():
     second_list = (endpoint_list((0, 5, 1.0, 0, 0, 2, 57)), topology(kind=1))
     drill, actions = run_drill(frame(*START, *second_list))
-    assert list(drill.dispatchers[3].me.endpoints) == [5]
+    assert list(drill.dispatchers[3].state.endpoints) == [5]
     stop, vanished = struct.pack("<HH", 257, 3), struct.pack("<HHQ", 265, 3, 9)
     drill, actions = run_drill(frame(*START, incoming(9)), frame(stop, *START, vanished, number=2))
-    assert len(actions) == 3 and not drill.dispatchers[3].me.notifications
+    assert len(actions) == 3 and not drill.dispatchers[3].state.notifications
 
 
 def test_an_error_in_the_module_is_reported():
@@ -140,4 +140,7 @@
 
 
 def test_settings_leave_out_what_is_absent():
-    assert in_our_words({"unknown": 1, "family_info": {"workers": 3}}) == {"slots": 3, "topic_types": []}
+    assert translate_settings({"unknown": 1, "family_info": {"workers": 3}}) == {
+        "slots": 3,
+        "topic_types": [],
+    }
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -6,14 +6,14 @@
 from conftest import COLLAPSIBLE, ONCE_ONLY, ORDERED, REPEATABLE, TOPICS, Bed
 
 from juniperlanding import carry, choice
-from juniperlanding.choice import MS, SEC, benefit, learn, retry_is_harmless
+from juniperlanding.choice import MS, SEC, add_sample, benefit, retry_is_harmless
 from juniperlanding.state import Destination, Instance
 
 
 def series_of(*latencies):
     dest = Destination(1)
     for latency in latencies:
-        learn(dest, latency)
+        add_sample(dest, latency)
     return dest
 
 
@@ -22,9 +22,9 @@
 
 def test_forecast_takes_the_predictor_with_the_least_error():
     steady = series_of(*[100 * MS] * 10)
-    assert (steady.forecast, steady.miss) == (100 * MS, 0)
+    assert (steady.forecast, steady.rmse) == (100 * MS, 0)
     spiked = series_of(*[100 * MS] * 9, 900 * MS, 100 * MS)
-    assert spiked.forecast == 100 * MS and spiked.miss > 200 * MS
+    assert spiked.forecast == 100 * MS and spiked.rmse > 200 * MS
 
 
 def test_timeout_starts_generous_then_follows_forecast_and_floor(bed):
@@ -51,7 +51,7 @@
     bed.turn(1)
     assert bed.pushed[-1][2] == 4 * SEC
     bed.end(ntf, "delivered", number=1)
-    assert bed.at.destination(1).timeout_doublings == 0
+    assert bed.dispatcher.destination(1).timeout_doublings == 0
 
 
 # ---- TTL and outcomes
@@ -79,7 +79,7 @@
 
 def test_ttl_already_past_or_absent(bed):
     bed.take(ttl=-1)
-    bed.at.notification(99, REPEATABLE, 1)
+    bed.dispatcher.notification(99, REPEATABLE, 1)
     assert bed.turn() == 1 and bed.pushed[0][0] == 99
     assert bed.host.all("throttled") == [[1, 0]]
 
@@ -112,10 +112,10 @@
     bed.end(ntf, "unreachable", after=5)
     bed.turn(1)
     bed.end(ntf, "error", after=5, number=1)
-    held = bed.at.me.notifications[ntf]
-    assert retry_is_harmless(held, bed.at.now)
-    bed.at.now += 800 * MS  # 5.8 s of the 6: it might arrive after the window
-    assert not retry_is_harmless(held, bed.at.now)
+    held = bed.dispatcher.state.notifications[ntf]
+    assert retry_is_harmless(held, bed.dispatcher.now)
+    bed.dispatcher.now += 800 * MS  # 5.8 s of the 6: it might arrive after the window
+    assert not retry_is_harmless(held, bed.dispatcher.now)
     bed.turn()
     assert bed.host.all("expired") == [[ntf]] and len(bed.pushed) == 2
 
@@ -123,12 +123,12 @@
 def test_late_outcomes_and_unknown_ids_are_passed_over(bed):
     ntf = bed.take()
     bed.turn()
-    bed.at.withdrawn(ntf)
-    bed.at.withdrawn(12345)
+    bed.dispatcher.withdraw(ntf)
+    bed.dispatcher.withdraw(12345)
     bed.end(ntf, "error")
     bed.end(ntf, "error")
     bed.turn()
-    assert bed.at.me.slots_out == 0 and len(bed.pushed) == 1
+    assert bed.dispatcher.state.slots_out == 0 and len(bed.pushed) == 1
     assert not bed.host.all("expired") + bed.host.all("throttled")
 
 
@@ -143,11 +143,11 @@
 
 
 def test_benefit_fades_after_the_objective(bed):
-    ntf = bed.at.me.notifications[bed.take()]
-    assert benefit(ntf, bed.at.now + 2 * SEC) == 1
-    assert benefit(ntf, bed.at.now + 20 * SEC) == pytest.approx(0.5)
+    ntf = bed.dispatcher.state.notifications[bed.take()]
+    assert benefit(ntf, bed.dispatcher.now + 2 * SEC) == 1
+    assert benefit(ntf, bed.dispatcher.now + 20 * SEC) == pytest.approx(0.5)
     ntf.topic = ntf.topic | {"fades": "halves", "late_share": 0.1}
-    assert benefit(ntf, bed.at.now + 4 * SEC) == pytest.approx(0.5)
+    assert benefit(ntf, bed.dispatcher.now + 4 * SEC) == pytest.approx(0.5)
 
 
 # ---- Retry-After, rate, concurrency, ordering, endpoint list
@@ -170,7 +170,7 @@
         ntf = bed.take(ttl=60)
         bed.turn()
         bed.end(ntf, "throttled", wait=8 * SEC)
-        returns.add((bed.endpoint().route.wait_until - bed.at.now) // SEC)
+        returns.add((bed.endpoint().route.wait_until - bed.dispatcher.now) // SEC)
     assert min(returns) >= 8 and max(returns) < 16 and len(returns) > 2
 
 
@@ -186,15 +186,15 @@
 def test_throttling_slows_the_pace_and_a_report_bounds_it(bed):
     ntf = bed.take()
     bed.turn()
-    pace = bed.endpoint().route.pace
+    pace = bed.endpoint().route.rate
     bed.end(ntf, "throttled", after=0, report={"limit": 4.0})
-    assert bed.endpoint().route.pace < pace and bed.endpoint().route.reported_limit == 4.0
+    assert bed.endpoint().route.rate < pace and bed.endpoint().route.reported_limit == 4.0
 
 
 def test_pace_grows_to_its_share_of_a_known_limit():
     bed = Bed(scale=10.0, dispatchers=4)
     bed.deliver(60)
-    assert 2.5 < bed.endpoint().route.pace <= 10.0 * 1.3 / 4
+    assert 2.5 < bed.endpoint().route.rate <= 10.0 * 1.3 / 4
 
 
 def test_a_clump_goes_at_the_pace():
@@ -208,17 +208,17 @@
 def test_slots_never_overrun_and_one_destination_leaves_some():
     bed = Bed(slots=6)
     bed.deliver(1)
-    bed.at.listed("changes", [(20, 2, 0, 50.0, 0, "ready")])
+    bed.dispatcher.update_endpoints("changes", [(20, 2, 0, 50.0, 0, "ready")])
     for _ in range(9):
         bed.take(ONCE_ONLY)
     bed.turn(1)
-    assert bed.at.destination(1).calls_out == 4
+    assert bed.dispatcher.destination(1).calls_out == 4
     for _ in range(9):
         bed.take(destination=2)
     for _ in range(9):
         bed.turn(0.1)
-    assert bed.at.destination(2).calls_out == 2
-    assert bed.at.me.slots_out <= 6
+    assert bed.dispatcher.destination(2).calls_out == 2
+    assert bed.dispatcher.state.slots_out <= 6
 
 
 @pytest.mark.parametrize("topic, after", [(REPEATABLE, 1), (ONCE_ONLY, 2)])
@@ -270,7 +270,7 @@
     for _ in range(4):
         bed.take(ONCE_ONLY)
         bed.turn(0.2)
-    assert bed.at.me.slots_out == 3 and not bed.host.all("cancel")
+    assert bed.dispatcher.state.slots_out == 3 and not bed.host.all("cancel")
     bed.turn(0.7)
     assert len(bed.host.all("cancel")) == 1
 
@@ -292,7 +292,7 @@
     assert bed.turn() == 2
     third = bed.take(ORDERED, key=5)
     bed.end(second, "timeout")
-    bed.at.withdrawn(second)
+    bed.dispatcher.withdraw(second)
     assert bed.turn(1.5) == 2
     assert bed.turn(1) == 3 and bed.pushed[-1][0] == third
 
@@ -301,29 +301,29 @@
     bed = Bed(batch_by_kind=[4])
     for _ in range(4):
         bed.take()
-    assert bed.turn() == 4 and bed.at.me.slots_out == 1
-    bed.endpoint().bad_since = 1
+    assert bed.turn() == 4 and bed.dispatcher.state.slots_out == 1
+    bed.endpoint().failing_since = 1
     for n in range(1, 5):
         bed.end(n, "unreachable", after=0)
-    assert bed.at.me.slots_out == 0
+    assert bed.dispatcher.state.slots_out == 0
     assert bed.turn(1) == 5
 
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
 def test_told_drains_bind_at_once_and_a_return_is_taken(bed, state):
-    bed.at.listed("changes", [(10, 1, 0, 5.0, 0, state)])
+    bed.dispatcher.update_endpoints("changes", [(10, 1, 0, 5.0, 0, state)])
     bed.take()
     assert bed.turn() == 0
-    bed.at.listed("changes", [(10, 1, 0, 5.0, 0, "ready")])
+    bed.dispatcher.update_endpoints("changes", [(10, 1, 0, 5.0, 0, "ready")])
     assert bed.turn() == 1
 
 
 def test_whole_list_replaces_and_failure_keeps_it(bed):
-    bed.at.listed("failed", [])
+    bed.dispatcher.update_endpoints("failed", [])
     assert bed.endpoint().state == "ready"
     kept = bed.endpoint()
-    bed.at.listed("whole", [(11, 1, 0, 5.0, 0, "ready")])
-    assert kept.state == "gone" and list(bed.at.me.endpoints) == [11]
+    bed.dispatcher.update_endpoints("whole", [(11, 1, 0, 5.0, 0, "ready")])
+    assert kept.state == "gone" and list(bed.dispatcher.state.endpoints) == [11]
 
 
 def test_subscription_is_kept_up_without_a_flood():
@@ -331,11 +331,11 @@
     assert bed.host.all("subscribe") == [[True]]
     delays = []
     for _ in range(9):
-        bed.at.listed("failed", [])
+        bed.dispatcher.update_endpoints("failed", [])
         delay, tok = bed.host.all("timer")[-1]
         delays.append(delay)
-        bed.at.now += delay
-        bed.at.wake(tok)
+        bed.dispatcher.now += delay
+        bed.dispatcher.wake(tok)
     assert len(bed.host.all("subscribe")) == 10
     assert sum(delays[:3]) < 2 * SEC  # a drain reported in between still takes effect in time
     assert all(1 * SEC <= delay <= 2 * SEC for delay in delays[4:]) and min(delays) >= SEC // 8
@@ -357,9 +357,9 @@
     bed = Bed(scale=20.0, dispatchers=dispatchers)
     ntf = bed.take()
     bed.turn()
-    assert bed.endpoint().route.pace >= 5.0
+    assert bed.endpoint().route.rate >= 5.0
     bed.end(ntf, "throttled")
-    assert most / 2 < bed.endpoint().route.pace < most
+    assert most / 2 < bed.endpoint().route.rate < most
 
 
 def test_those_behind_others_of_their_key_hide_nothing():
@@ -379,7 +379,7 @@
     ntf = bed.take()
     bed.turn()
     bed.end(ntf, "throttled", report={"limit": 5.0, "limit_left": left})
-    assert least <= bed.endpoint().route.pace <= most
+    assert least <= bed.endpoint().route.rate <= most
 
 
 @pytest.mark.parametrize("price, chosen", [(0.03, {11}), (0, {10, 11})])
@@ -408,7 +408,7 @@
         ntf = bed.take()
         bed.turn(1.6)
         bed.end(ntf, ending)
-        bed.at.withdrawn(ntf)
+        bed.dispatcher.withdraw(ntf)
     return bed.endpoint()
 
 
@@ -416,7 +416,7 @@
 def test_bad_outcomes_in_a_row_set_an_endpoint_aside(bed, ending):
     bed.deliver()
     uncounted = ending == "reset"  # the first reset is put down to an idle connection
-    assert fail_in_a_row(bed, ending, 3 + uncounted).down
+    assert fail_in_a_row(bed, ending, 3 + uncounted).ejected
     sent = len(bed.pushed)
     for _ in range(5):
         bed.take()
@@ -432,22 +432,26 @@
         ntf = bed.take()
         if bed.turn(2) > 1:
             break
-        bed.at.withdrawn(ntf)
-    waited = (bed.at.now - bed.endpoint().bad_since) // SEC
+        bed.dispatcher.withdraw(ntf)
+    waited = (bed.dispatcher.now - bed.endpoint().failing_since) // SEC
     assert waited < 8 if dispatchers == 2 else waited >= 8
 
 
 def test_a_note_ends_the_doubt_into_a_warm_up_and_odd_notes_are_ignored():
     bed = Bed(may_note=True, dispatchers=200)
     endpoint = fail_in_a_row(bed)
-    bed.at.note(0, b"back 10")  # its own note
+    bed.dispatcher.note(0, b"back 10")  # its own note
     for body in (b"back 77", b"", b"back", b"back x1", b"\xff 10"):
-        bed.at.note(5, body)
-    assert endpoint.bad_since
-    bed.at.note(5, b"back 10")
-    assert not endpoint.bad_since and endpoint.back_at == bed.at.now and not bed.host.all("note")
-    bed.at.note(5, b"back 10")
-    assert endpoint.back_at == bed.at.now
+        bed.dispatcher.note(5, body)
+    assert endpoint.failing_since
+    bed.dispatcher.note(5, b"back 10")
+    assert (
+        not endpoint.failing_since
+        and endpoint.warming_since == bed.dispatcher.now
+        and not bed.host.all("note")
+    )
+    bed.dispatcher.note(5, b"back 10")
+    assert endpoint.warming_since == bed.dispatcher.now
 
 
 def test_who_finds_an_endpoint_back_tells_the_others():
@@ -474,7 +478,7 @@
     bed.turn()
     for _ in range(4):
         bed.turn(1)
-    assert bed.endpoint().down
+    assert bed.endpoint().ejected
 
 
 @pytest.mark.parametrize("then, strikes", [("delivered", 0), ("reset", 4), ("unreachable", 3)])
@@ -485,8 +489,8 @@
         ntf = bed.take()
         bed.turn(8)
         bed.end(ntf, ending)
-        bed.at.withdrawn(ntf)
-        assert (bed.endpoint().run, len(bed.host.all("close_idle"))) == (run, closed)
+        bed.dispatcher.withdraw(ntf)
+        assert (bed.endpoint().failure_run, len(bed.host.all("close_idle"))) == (run, closed)
     for idle in (8, 60):  # learned, and forgotten after a time without a break
         bed.turn(idle)
         bed.deliver(1)
@@ -500,8 +504,8 @@
         sent = len(bed.pushed)
         if bed.turn(1) > sent:
             bed.end(ntf, "throttled")
-        bed.at.withdrawn(ntf)
-    assert bed.endpoint().down
+        bed.dispatcher.withdraw(ntf)
+    assert bed.endpoint().ejected
 
 
 def test_a_returning_endpoint_warms_under_its_budget():
@@ -512,18 +516,18 @@
     back = bed.take()
     bed.turn(3)
     bed.end(back, "delivered")
-    assert endpoint.back_at == bed.at.now and not endpoint.down
+    assert endpoint.warming_since == bed.dispatcher.now and not endpoint.ejected
     sent = len(bed.pushed)
     for _ in range(40):
         bed.take()
     for _ in range(200):
-        for n in list(bed.at.me.pushes):
-            bed.at.outcome(*n[:1], n[1], "delivered", latency=10 * MS, over=True)
+        for n in list(bed.dispatcher.state.pushes):
+            bed.dispatcher.outcome(*n[:1], n[1], "delivered", latency=10 * MS, over=True)
         bed.turn(0.01)
     # half of 5/s x 0.2..0.36 x 2, for 2 s
     assert len(bed.pushed) - sent <= 3
     bed.turn(10)
-    assert not endpoint.back_at
+    assert not endpoint.warming_since
 
 
 def test_a_clump_turned_away_at_once_is_one_refusal_and_what_waited_goes_in_few_calls_at_a_time():
@@ -533,24 +537,24 @@
         bed.take()
     clump = bed.turn(1) - 4
     assert clump > 30
-    for n in list(bed.at.me.pushes):
+    for n in list(bed.dispatcher.state.pushes):
         bed.end(n[0], "throttled", after=0.001)
     route = bed.endpoint().route
-    assert route.throttle_run == 1 and route.wait_until < bed.at.now + SEC // 2
+    assert route.throttle_run == 1 and route.wait_until < bed.dispatcher.now + SEC // 2
     most, gone = 0, 0
     for _ in range(100):
-        for n, number in list(bed.at.me.pushes):
+        for n, number in list(bed.dispatcher.state.pushes):
             bed.end(n, "delivered", after=0, number=number)
             gone += 1
         bed.turn(0.01)
-        most = max(most, len(bed.at.me.pushes))
+        most = max(most, len(bed.dispatcher.state.pushes))
     assert most <= 4 and gone > 40
 
 
 def test_after_a_refused_connection_few_calls_go_and_silent_ones_fill_no_room():
     bed = Bed(scale=400.0, slots=90)
     bed.deliver()
-    bed.endpoint().connection_refused_at = bed.at.now
+    bed.endpoint().connection_refused_at = bed.dispatcher.now
     for _ in range(20):
         bed.take(ONCE_ONLY)
     sent = bed.turn(1)
@@ -562,10 +566,10 @@
 
 @pytest.mark.parametrize("loss, warms", [(0.0, True), (0.3, False)])
 def test_a_short_run_that_own_losses_explain_is_no_outage(bed, loss, warms):
-    endpoint, bed.at.me.own_loss = bed.endpoint(), loss
-    endpoint.run, endpoint.bad_since = 4, bed.at.now - 2 * SEC  # two resets
-    bed.at.health.good(endpoint)
-    assert bool(endpoint.back_at) == warms and not endpoint.bad_since
+    endpoint, bed.dispatcher.state.own_loss = bed.endpoint(), loss
+    endpoint.failure_run, endpoint.failing_since = 4, bed.dispatcher.now - 2 * SEC  # two resets
+    bed.dispatcher.health.record_success(endpoint)
+    assert bool(endpoint.warming_since) == warms and not endpoint.failing_since
 
 
 @pytest.mark.parametrize("sampled, share", [(False, 0.97), (True, 1.0)])
@@ -573,21 +577,21 @@
     bed = Bed(batch_by_kind=[4])
     bed.take()
     bed.turn()
-    bed.at.me.own_loss = 0.2
-    bed.at.me.pushes[1, 0].call.sampled = sampled
+    bed.dispatcher.state.own_loss = 0.2
+    bed.dispatcher.state.pushes[1, 0].call.sampled = sampled
     bed.end(1, "delivered")
-    assert bed.at.me.own_loss == pytest.approx(0.2 * share)
+    assert bed.dispatcher.state.own_loss == pytest.approx(0.2 * share)
 
 
 def test_a_turn_with_nothing_due_ranks_nothing(bed, monkeypatch):
     bed.deliver()
-    bed.at.me.settings["slots"] = 0
+    bed.dispatcher.state.settings["slots"] = 0
     for _ in range(80):
         bed.take()
     bed.turn()
     ranked = []
     monkeypatch.setattr(choice, "benefit", lambda *fields: ranked.append(fields) or 1)
-    monkeypatch.setattr(bed.at.ttl, "ends", ranked.append)
+    monkeypatch.setattr(bed.dispatcher.ttl, "ends", ranked.append)
     bed.turn(1)
     assert not ranked
 
@@ -595,7 +599,7 @@
 def test_a_warming_endpoint_gets_calls_of_several_within_the_same_budget():
     bed = Bed(batch_by_kind=[5])
     endpoint = bed.endpoint()
-    endpoint.back_at = endpoint.filled_at = bed.at.now
+    endpoint.warming_since = endpoint.filled_at = bed.dispatcher.now
     endpoint.tokens = 1.0
     for _ in range(8):
         bed.take()
@@ -645,7 +649,7 @@
     bed.take(destination=9)
     bed.turn()
     bed.turn(30)
-    assert not bed.at.me.notifications or bed.pushed
+    assert not bed.dispatcher.state.notifications or bed.pushed
 
 
 @pytest.mark.parametrize("settings", [{"start_capacity": 0}, {"overload_factor": 0}])
@@ -662,7 +666,7 @@
 
 def test_settings_may_miss_anything():
     bed = Bed()
-    bed.at.me.settings.clear()
+    bed.dispatcher.state.settings.clear()
     bed.take(topic=7)
     assert bed.turn() == 1
 
@@ -681,7 +685,9 @@
 
 def test_what_a_restart_hands_back_goes_again_only_if_it_may(bed):
     for number, topic in enumerate((REPEATABLE, COLLAPSIBLE, ONCE_ONLY), 1):
-        bed.at.notification(number, topic, 1, ttl_at=bed.at.now + 20 * SEC, pushes=1, ran_at=bed.at.now - SEC)
+        bed.dispatcher.notification(
+            number, topic, 1, ttl_at=bed.dispatcher.now + 20 * SEC, pushes=1, ran_at=bed.dispatcher.now - SEC
+        )
     bed.turn(0.5)
     bed.turn(0.5)
     assert sorted(fields[0] for fields in bed.pushed) == [1, 2]
@@ -690,10 +696,10 @@
 
 def test_a_handed_back_push_keeps_its_zone_its_window_and_its_count():
     bed = Bed(topic_types=[TOPICS[REPEATABLE], TOPICS[COLLAPSIBLE] | {"group": "zone"}])
-    now, ttl_at = bed.at.now, bed.at.now + 20 * SEC
-    bed.at.notification(1, COLLAPSIBLE, 1, ttl_at=ttl_at, pushes=1, ran_zone=3, ran_at=now)
-    bed.at.notification(2, COLLAPSIBLE, 1, ttl_at=ttl_at, pushes=1, ran_at=now - 6 * SEC)
-    bed.at.notification(3, REPEATABLE, 1, ttl_at=ttl_at, pushes=6)
+    now, ttl_at = bed.dispatcher.now, bed.dispatcher.now + 20 * SEC
+    bed.dispatcher.notification(1, COLLAPSIBLE, 1, ttl_at=ttl_at, pushes=1, ran_zone=3, ran_at=now)
+    bed.dispatcher.notification(2, COLLAPSIBLE, 1, ttl_at=ttl_at, pushes=1, ran_at=now - 6 * SEC)
+    bed.dispatcher.notification(3, REPEATABLE, 1, ttl_at=ttl_at, pushes=6)
     assert bed.turn() == 0
     assert (bed.host.all("expired"), bed.host.all("throttled")) == ([[2]], [[3, 0]])
 
@@ -701,7 +707,7 @@
 def test_no_once_only_push_starts_that_a_planned_restart_would_cut_off(bed):
     bed.deliver(4, after=0.2)
     sent = len(bed.pushed)
-    bed.at.stopping(bed.at.now + SEC // 2)
+    bed.dispatcher.plan_stop(bed.dispatcher.now + SEC // 2)
     bed.take(ONCE_ONLY)
     ntf = bed.take(REPEATABLE)
     bed.turn()
@@ -725,7 +731,11 @@
         bed.end(ntf, "error", after=0)
     fresh = [bed.take() for _ in range(2)]
     bed.turn(0.2)
-    calls = [[push.ntf.id for push in call.pushes] for e in bed.at.me.endpoints.values() for call in e.calls]
+    calls = [
+        [push.ntf.id for push in call.pushes]
+        for e in bed.dispatcher.state.endpoints.values()
+        for call in e.calls
+    ]
     assert all(len(call) == 1 or set(call) <= set(fresh) for call in calls)
     assert [bad] in calls or [other] in calls
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -219,13 +219,13 @@
     probe_times = []
     for ahead in (0, HOUR + SEC // 7):
         bed = Bed()
-        bed.at.me.rank, bed.at.me.dispatchers = 3, 200
-        bed.at.now -= ahead
-        bed.at.wall_clock_ahead = ahead
+        bed.dispatcher.state.rank, bed.dispatcher.state.dispatchers = 3, 200
+        bed.dispatcher.now -= ahead
+        bed.dispatcher.wall_clock_ahead = ahead
         endpoint = bed.endpoint()
-        endpoint.down, endpoint.run = True, 9
-        bed.at.health.aside(endpoint)
-        probe_times.append(endpoint.trial_at + ahead)
+        endpoint.ejected, endpoint.failure_run = True, 9
+        bed.dispatcher.health.schedule_probe(endpoint)
+        probe_times.append(endpoint.probe_at + ahead)
     assert probe_times[0] == probe_times[1]
 
 
@@ -233,10 +233,10 @@
     async def scene(site):
         node = await site.start()
         await site.submit("a0")
-        assert abs(node.owner.at.wall_clock_ahead) < SEC
+        assert abs(node.owner.dispatcher.wall_clock_ahead) < SEC
         wall_clock.ahead += HOUR
         await site.submit("a1")
-        assert abs(node.owner.at.wall_clock_ahead - HOUR) < SEC
+        assert abs(node.owner.dispatcher.wall_clock_ahead - HOUR) < SEC
 
     site.run(scene)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -596,7 +596,7 @@
                 node.owner.tell_now(node.owner.listed, "changes", found)
             else:
                 calls.recall({"s-1"})
-                node.owner.at.me.endpoints["s-1"].route.wait_until = node.owner.now() + 60 * SEC
+                node.owner.dispatcher.state.endpoints["s-1"].route.wait_until = node.owner.now() + 60 * SEC
 
         for act in (site.world.network.go.set, off) if first == "up" else (off, site.world.network.go.set):
             act()
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -6,7 +6,7 @@
 
 from juniperlanding.choice import SEC
 from juniperlanding.drill.host import Drill
-from juniperlanding.settings import in_our_words
+from juniperlanding.settings import translate_settings
 from juniperlanding.standins.peers import http
 
 STEP = {
@@ -129,7 +129,7 @@
 def test_when_places_run_out_what_is_beyond_a_share_goes_first():
     bed = Bed(slots=0, most_held=10, **SHARES)
     for number, tenant in enumerate("aaaabbbbbb"):
-        bed.at.notification(f"{tenant}{number}", 0, 1, tenant=tenant)
+        bed.dispatcher.notification(f"{tenant}{number}", 0, 1, tenant=tenant)
     bed.turn()
     assert [fields[0] for fields in bed.host.all("throttled")] == ["a2"]
 
@@ -138,19 +138,19 @@
     bed = Bed(**SHARES)
 
     def counts(tenant, after=0.0):
-        bed.at.now += int(after * SEC)
+        bed.dispatcher.now += int(after * SEC)
         bed.count += 1
-        bed.at.notification(bed.count, 0, 1, tenant=tenant)
-        return bed.at.me.notifications[bed.count].counts
+        bed.dispatcher.notification(bed.count, 0, 1, tenant=tenant)
+        return bed.dispatcher.state.notifications[bed.count].benefit_share
 
     assert [counts("a") for _ in range(4)] == [1, 1, 0.05, 0.05]
     assert counts("a", after=9) == 0.05 and counts("a", after=1) == 1 and counts("a") == 0.05
     assert counts("unheard-of") == counts("") == 1
-    assert set(bed.at.me.tenants) == {"a"}
+    assert set(bed.dispatcher.state.tenant_next_at) == {"a"}
 
 
 def test_shares_come_from_the_settings_and_tenants_over_the_simulator_s_wire():
-    converted = in_our_words(
+    converted = translate_settings(
         {
             "tenants": [
                 {"name": "a", "share": 0.5, "allowance_per_s": 0.2},
@@ -160,11 +160,11 @@
         }
     )
     assert {name: converted[name] for name in SHARES} == SHARES
-    assert "tenants" not in in_our_words({"tenants": []})
+    assert "tenants" not in translate_settings({"tenants": []})
     bed = Bed(**SHARES)
-    Drill().incoming(bed.at, 1, 0, 1, 0, bed.at.now + SEC, 0, 1.0, 0)
-    assert set(bed.at.me.tenants) == {"b"}
-    Drill().incoming(Bed().at, 1, 0, 0, 0, SEC, 0, 1.0, 0)
+    Drill().incoming(bed.dispatcher, 1, 0, 1, 0, bed.dispatcher.now + SEC, 0, 1.0, 0)
+    assert set(bed.dispatcher.state.tenant_next_at) == {"b"}
+    Drill().incoming(Bed().dispatcher, 1, 0, 0, 0, SEC, 0, 1.0, 0)
 
 
 def test_a_key_rests_until_a_call_of_several_is_over_in_which_one_timed_out():
@@ -182,7 +182,7 @@
     bed.turn(1.9)
     assert late not in [ntf for ntf, *_ in bed.pushed]
     bed.turn(0.2)
-    assert late in [ntf for ntf, *_ in bed.pushed] and not bed.at.me.notifications[late].not_before
+    assert late in [ntf for ntf, *_ in bed.pushed] and not bed.dispatcher.state.notifications[late].not_before
     bed.end(late, "delivered")
     bed.turn()
-    assert not bed.at.me.key_rest
+    assert not bed.dispatcher.state.key_holds
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -182,7 +182,7 @@
     async def scene(site):
         node = await site.start()
         await site.until(lambda: node.owner.ready)
-        node.owner.at.me.endpoints["s-1"].down = True
+        node.owner.dispatcher.state.endpoints["s-1"].ejected = True
         assert (await statistics(site))["ejected"] == (1, "g")
 
     site.run(scene)
--- a/tests/test_endings_endpoint.py
+++ b/tests/test_endings_endpoint.py
@@ -138,6 +138,7 @@
         await site.until(lambda: node.counters["pushes_delivered"] and not node.ledger.owed)
         assert ids(site.far) == [["c"]]
         # A notice may be posted twice.
+        # Compared as a set, since a notice that is posted twice does no harm.
         assert {notice["message"] for notice in site.platform.notices} == {"a", "b"}
 
     site.run(scene, each_accepted)
--- a/tests/test_gone_endpoint.py
+++ b/tests/test_gone_endpoint.py
@@ -15,7 +15,7 @@
         node = await site.start()
         assert await site.submit("a0", ttl=700) == 202
         await site.until(lambda: held.began)
-        endpoint = node.owner.at.me.endpoints["s-1"]
+        endpoint = node.owner.dispatcher.state.endpoints["s-1"]
         await node.owner.tell(node.owner.listed, "whole", [])
         await site.until(lambda: endpoint.state == "gone")
         held.go.set()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -474,7 +474,7 @@
             await node.owner.tell(node.owner.listed, "changes", news)
             await site.until(lambda: node.counters["pushes_moot"])
             # The push was called back before it left, so the ledger has no record of it.
-            assert node.owner.at.me.notifications["a1"].pushes == 1 and queued
+            assert node.owner.dispatcher.state.notifications["a1"].pushes == 1 and queued
             assert not node.ledger.owed["a1"].pushes and not owed(site)["a1"].pushes
 
     site.run(scene)
@@ -637,7 +637,7 @@
         assert await site.submit("a2") == 202
         await site.until(lambda: not node.ledger.owed)
         assert [headers["x-trace-id"] for _, headers, _ in site.far.got] == ["a2"]
-        assert node.owner.at.me.slots_out == 0
+        assert node.owner.dispatcher.state.slots_out == 0
 
     site.run(scene)
 
@@ -842,7 +842,7 @@
             {"revision": 3, "complete": True, "members": [member(2, other.address)]},
         ]
         node = await site.start()
-        await site.until(lambda: list(node.owner.at.me.endpoints) == ["s-2"])
+        await site.until(lambda: list(node.owner.dispatcher.state.endpoints) == ["s-2"])
         watches = [first for first, _, _ in site.platform.got]
         assert watches[0] == "GET /catalog/members?index=1&wait=10000 HTTP/1.1" and "index=2" in watches[1]
         assert ("list", "entries cannot be read entries=2") in site.lines
@@ -882,11 +882,11 @@
     async def scene(site):
         site.platform.answer = lambda first, *rest: answer
         node = await site.start()
-        await site.until(lambda: node.owner.at.me.list_failures == 1)
+        await site.until(lambda: node.owner.dispatcher.state.list_failures == 1)
         assert await site.submit("a1") == 202
         await site.until(lambda: site.far.got)
         node.owner.subscribe(True)
-        await site.until(lambda: node.owner.at.me.list_failures == 2)
+        await site.until(lambda: node.owner.dispatcher.state.list_failures == 2)
         assert node.counters["faults"] == 0
 
     site.run(scene)
@@ -1092,7 +1092,7 @@
         await site.submit("a1", dest=8)
         await node.owner.tell(node.owner.unheard, Answer("a1"))
         await site.until(lambda: not node.ledger.owed)
-        assert not node.owner.held and not node.owner.at.me.notifications
+        assert not node.owner.held and not node.owner.dispatcher.state.notifications
 
     site.run(scene)
 
@@ -1178,7 +1178,7 @@
         node = await site.start()
         config = site.folder / "config.json"
         await site.until(lambda: site.platform.got)
-        await site.until(lambda: node.owner.at.me.list_failures == (before == "failed"))
+        await site.until(lambda: node.owner.dispatcher.state.list_failures == (before == "failed"))
         old, site.platform = site.platform, await Platform().open(site.nursery)
         site.platform.lists = [{"revision": 1, "complete": True, "members": [member(2, site.far.address)]}]
         text = config.read_text()
@@ -1189,7 +1189,9 @@
         site.config()
         node.reload(site.reread)
         node.owner.notices.add("a1", "given_up", 0)
-        await site.until(lambda: site.platform.notices and list(node.owner.at.me.endpoints) == ["s-2"])
+        await site.until(
+            lambda: site.platform.notices and list(node.owner.dispatcher.state.endpoints) == ["s-2"]
+        )
         await site.until(lambda: len([first for first, _, _ in site.platform.got if "GET" in first]) == 2)
         asked = [first.split()[1] for first, _, _ in site.platform.got if "GET" in first]
         assert not old.notices and asked == ["/catalog/members", "/catalog/members?index=1&wait=10000"]
@@ -1259,9 +1261,9 @@
     async def scene(site):
         node = await site.start()
         await site.until(lambda: node.owner.ready)
-        notification, node.owner.at.notification = node.owner.at.notification, None
+        notification, node.owner.dispatcher.notification = node.owner.dispatcher.notification, None
         assert await site.submit("a1") == 503
-        node.owner.at.notification = notification
+        node.owner.dispatcher.notification = notification
         assert await site.submit("a2") == 202 and "a1" not in node.ledger.owed
 
     site.run(scene)
@@ -1274,7 +1276,7 @@
             node.ledger.take(number, "news", 8, ttl_at, "", b"")
         node.owner.begin([])
         assert node.owner.ready and node.counters["faults"] == 1
-        assert list(node.owner.at.me.notifications) == ["a2"]
+        assert list(node.owner.dispatcher.state.notifications) == ["a2"]
         node.ledger.close()
 
     site.run(scene)
@@ -1284,11 +1286,11 @@
     async def scene(site):
         node = await site.start()
         await site.until(lambda: node.owner.ready)
-        node.owner.at.turn = None
+        node.owner.dispatcher.decide = None
         assert await site.submit("a1", ttl=100) == 202
         await site.until(lambda: site.platform.notices)
         assert site.platform.notices == [{"message": "a1", "outcome": "given_up"}]
-        assert not node.owner.held and not node.owner.at.me.notifications
+        assert not node.owner.held and not node.owner.dispatcher.state.notifications
 
     site.run(scene)
 
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -10,7 +10,7 @@
 
 from juniperlanding.net import protocol
 from juniperlanding.net.config import read
-from juniperlanding.settings import in_our_words
+from juniperlanding.settings import translate_settings
 from juniperlanding.standins.peers import Far, http, member
 
 CLASSES = WIRE["request_classes"]
@@ -210,7 +210,7 @@
         assert (await site.ask(text.replace(b"{0}", name.encode(written))))[0] == 202
         await site.until(lambda: not node.ledger.owed)
         assert ids(site.far) == {"a1": 1} and not site.platform.notices
-        assert set(node.owner.at.me.tenants) == {name}
+        assert set(node.owner.dispatcher.state.tenant_next_at) == {name}
         status, _ = await site.ask(b"GET /_counters HTTP/1.1\r\nHost: api\r\n\r\n")
         assert status == 200 and f"svc.results.{name}.succeeded 1\n" in site.payload.decode()
 
@@ -221,12 +221,12 @@
     "settings", [{"effect": "perhaps"}, {"effect": None}, {}, {"effect": "keyed", "group": "hall"}]
 )
 def test_what_nobody_says_may_run_twice_is_once_only(settings):
-    converted = in_our_words({"request_classes": [{"name": "odd", **settings}]})
+    converted = translate_settings({"request_classes": [{"name": "odd", **settings}]})
     assert converted["topic_types"][0]["kind"] == "once-only"
 
 
 def test_what_may_run_twice_anywhere_needs_no_group_that_drops_repeats():
-    converted = in_our_words({"request_classes": [{"name": "odd", "effect": "safe", "group": "hall"}]})
+    converted = translate_settings({"request_classes": [{"name": "odd", "effect": "safe", "group": "hall"}]})
     assert converted["topic_types"][0]["kind"] == "repeatable"
 
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -141,7 +141,7 @@
         assert b.policy.lines()[2] == "last=2 outcome=decided by=d1 why=-"
 
         def objectives(node):
-            found = node.owner.at.me.notifications
+            found = node.owner.dispatcher.state.notifications
             return [found[name].topic["objective"] // MS for name in ("a0", "a1", "a2")]
 
         assert objectives(a.node) == [2000, 700, 900]
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -10,7 +10,7 @@
 import pytest
 from conftest import Bed
 
-from juniperlanding.choice import MS, NEVER_RAN, SEC, Dispatcher
+from juniperlanding.choice import MS, NOT_EXECUTED, SEC, Dispatcher
 
 TRAVEL = 30 * MS
 
@@ -27,17 +27,17 @@
         """As a new process does: what the ledger holds comes back; all else is forgotten."""
         fleet, self.begun = self.fleet, self.begun + 1
         self.calls.clear()
-        self.at = Dispatcher(self, fleet.settings | {"rank": self.rank}, fleet.seed, fleet.now)
-        self.at.start()
-        self.at.listed("cached", [(1, 1, 0, fleet.limit, 0, "ready")])
+        self.dispatcher = Dispatcher(self, fleet.settings | {"rank": self.rank}, fleet.seed, fleet.now)
+        self.dispatcher.start()
+        self.dispatcher.update_endpoints("cached", [(1, 1, 0, fleet.limit, 0, "ready")])
         for ntf, (topic, ttl_at, pushes, ran_at) in self.held.items():
-            self.at.notification(ntf, topic, 1, ttl_at, pushes=pushes, ran_at=ran_at)
-        self.at.turn()
+            self.dispatcher.notification(ntf, topic, 1, ttl_at, pushes=pushes, ran_at=ran_at)
+        self.dispatcher.decide()
 
     def take(self, ntf, topic):
         ttl_at = self.fleet.now + self.fleet.settings["topic_types"][topic]["ttl"]
         self.held[ntf] = (topic, ttl_at, 0, 0)
-        self.at.notification(ntf, topic, 1, ttl_at)
+        self.dispatcher.notification(ntf, topic, 1, ttl_at)
 
     def over(self, ntf, *_):
         self.held.pop(ntf, None)
@@ -63,20 +63,20 @@
         self.told = self.told or (fleet.struck() and ending != "delivered")
         if ending == "delivered":
             self.held.pop(call[0], None)
-        elif ending in NEVER_RAN and call[0] in self.held:
+        elif ending in NOT_EXECUTED and call[0] in self.held:
             self.held[call[0]] = (*self.held[call[0]][:3], self.ran[call[0]])
-        self.at.now = fleet.now
-        self.at.outcome(call[0], call[1], ending, fleet.now - call[2], wait, ending == "delivered")
-        self.at.turn()
+        self.dispatcher.now = fleet.now
+        self.dispatcher.outcome(call[0], call[1], ending, fleet.now - call[2], wait, ending == "delivered")
+        self.dispatcher.decide()
 
     def timer(self, after, token):
         self.fleet.after(after, self.wake, self.begun, token)
 
     def wake(self, begun, token):
         if begun == self.begun:
-            self.at.now = self.fleet.now
-            self.at.wake(token)
-            self.at.turn()
+            self.dispatcher.now = self.fleet.now
+            self.dispatcher.wake(token)
+            self.dispatcher.decide()
 
     def log(self, *_):
         pass
@@ -145,9 +145,9 @@
     def arrive(self, member, come=False):
         if come:
             self.serial += 1
-            member.at.now = self.now
+            member.dispatcher.now = self.now
             member.take(self.serial, self.random.randrange(3))
-            member.at.turn()
+            member.dispatcher.decide()
         self.after(self.random.expovariate(member.rate) * SEC, self.arrive, member, True)
 
     def called(self, member, call, timeout):
@@ -286,7 +286,7 @@
         for ntf, number in given_up:
             bed.end(ntf, "cancelled", after=0, number=number)
         bed.turn()
-    assert bed.endpoint().down
+    assert bed.endpoint().ejected
 
 
 @pytest.mark.parametrize(
@@ -301,7 +301,11 @@
 def test_a_return_that_few_outcomes_tell_of_is_taken_as_sooner(run, down, gone, left):
     """Else one lost call of one of many costs its destination the whole ramp, after its whole pause."""
     bed = Bed(dispatchers=200, start_capacity=0.25, warm_within=10 * SEC, fall_within=2 * SEC)
-    endpoint, bed.at.now = bed.endpoint(), 1000 * SEC
-    endpoint.run, endpoint.down, endpoint.bad_since = run, down, bed.at.now - gone * SEC
-    bed.at.health.good(endpoint)
-    assert endpoint.back_at + 10 * SEC - bed.at.now == pytest.approx(left * SEC)
+    endpoint, bed.dispatcher.now = bed.endpoint(), 1000 * SEC
+    endpoint.failure_run, endpoint.ejected, endpoint.failing_since = (
+        run,
+        down,
+        bed.dispatcher.now - gone * SEC,
+    )
+    bed.dispatcher.health.record_success(endpoint)
+    assert endpoint.warming_since + 10 * SEC - bed.dispatcher.now == pytest.approx(left * SEC)
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -28,7 +28,9 @@
 def restored(bed, topic=REPEATABLE, ttl=20, **more):
     """Gives the decision module a notification as a restart does, untried unless told otherwise; its id."""
     bed.count += 1
-    bed.at.notification(bed.count, topic, 1, ttl_at=bed.at.now + int(ttl * SEC), **{"unsent": True} | more)
+    bed.dispatcher.notification(
+        bed.count, topic, 1, ttl_at=bed.dispatcher.now + int(ttl * SEC), **{"never_sent": True} | more
+    )
     return bed.count
 
 
@@ -65,7 +67,7 @@
         node = await site.start()
         await site.until(lambda: node.owner.ready)
         assert await site.submit("b0", "order") == 503  # at capacity, a new one is rejected
-        assert not site.platform.notices and len(node.owner.at.me.notifications) == 10
+        assert not site.platform.notices and len(node.owner.dispatcher.state.notifications) == 10
         await opened(site, node)
         await site.until(lambda: not node.ledger.owed)
         assert sorted(set(sent(site))) == names and not site.platform.notices
@@ -92,11 +94,11 @@
 def test_the_untried_is_not_given_up_for_a_forecast_and_the_tried_is():
     bed = Bed()
     bed.deliver(4, after=3.0)  # a forecast of 3 s
-    bed.at.listed("changes", [(10, 1, 0, 50.0, 0, "draining")])
-    untried, tried = restored(bed, ttl=3.5), restored(bed, ttl=3.5, pushes=1, unsent=False)
+    bed.dispatcher.update_endpoints("changes", [(10, 1, 0, 50.0, 0, "draining")])
+    untried, tried = restored(bed, ttl=3.5), restored(bed, ttl=3.5, pushes=1, never_sent=False)
     bed.turn(1)  # 2.5 s left
     assert bed.host.all("throttled") == [[tried, 0]]
-    bed.at.listed("changes", [(10, 1, 0, 50.0, 0, "ready")])
+    bed.dispatcher.update_endpoints("changes", [(10, 1, 0, 50.0, 0, "ready")])
     bed.turn()
     assert bed.pushed[-1][0] == untried
     bed.end(untried, "throttled", 0)
@@ -113,7 +115,7 @@
 
 
 def drained(bed):
-    bed.at.listed("changes", [(10, 1, 0, 50.0, 0, "draining")])
+    bed.dispatcher.update_endpoints("changes", [(10, 1, 0, 50.0, 0, "draining")])
 
 
 def told_to_wait(bed):
@@ -128,16 +130,17 @@
         bed.turn(4)
         if [one, 10] in [asked[:2] for asked in bed.pushed]:
             bed.end(one, "timeout", 0)
-    assert bed.endpoint().down
+    assert bed.endpoint().ejected
 
 
 def ends_soon(bed):
-    bed.at.stopping(bed.at.now + SEC // 2)
+    bed.dispatcher.plan_stop(bed.dispatcher.now + SEC // 2)
 
 
 def of_many(bed):
-    bed.at.me.dispatchers = 200  # its share of a cold endpoint's budget is less than one call in the time
-    restored(bed, ttl=60, pushes=1, unsent=False)  # and one whose push failed before the restart
+    # Its share of a cold endpoint's budget is less than one call in the time.
+    bed.dispatcher.state.dispatchers = 200
+    restored(bed, ttl=60, pushes=1, never_sent=False)  # and one whose push failed before the restart
 
 
 @pytest.mark.parametrize("topic", [REPEATABLE, COLLAPSIBLE, ONCE_ONLY, ORDERED])
@@ -148,10 +151,10 @@
     condition(bed)
     ended_before = {notice[0] for notice in bed.host.all("throttled") + bed.host.all("expired")}
     names = {restored(bed, topic, key="k" * (topic == ORDERED)) for _ in range(30)}
-    begun, called = bed.at.now, set()
-    while bed.at.now < begun + 10 * SEC:
+    begun, called = bed.dispatcher.now, set()
+    while bed.dispatcher.now < begun + 10 * SEC:
         bed.turn(0.05)
-        for ntf_id, number in list(bed.at.me.pushes):
+        for ntf_id, number in list(bed.dispatcher.state.pushes):
             called.add(ntf_id)
             bed.end(ntf_id, "throttled", 0, number=number)
     ended = {notice[0] for notice in bed.host.all("throttled") + bed.host.all("expired")} - ended_before
@@ -163,7 +166,7 @@
     bed = Bed(most_held=100)
     untried = restored(bed)
     bed.turn()
-    bed.at.listed("changes", [(10, 1, 0, 50.0, 0, "draining")])
+    bed.dispatcher.update_endpoints("changes", [(10, 1, 0, 50.0, 0, "draining")])
     bed.end(untried, ending)
     fresh = [bed.take(COLLAPSIBLE) for _ in range(90)]  # 91 held; at 90 the one worth least is rejected
     bed.turn()
@@ -188,8 +191,8 @@
     assert calls <= 2
     for index in range(calls):
         bed.end(bed.pushed[index][0], "delivered", 0)
-    begun, seen = bed.at.now, calls
-    while bed.at.now < begun + 2 * SEC:
+    begun, seen = bed.dispatcher.now, calls
+    while bed.dispatcher.now < begun + 2 * SEC:
         for index in range(seen, bed.turn(0.01)):
             bed.end(bed.pushed[index][0], "delivered", 0)
             seen += 1
@@ -393,8 +396,8 @@
         site.told["known"] = {"complete": True, "members": []}  # nothing is sent, so the state stays
         node = await site.start()
         await site.until(lambda: node.owner.ready)
-        found = node.owner.at.me.notifications["a"]
-        assert found.unsent and found.may_have_run is None and found.pushes == before.pushes
+        found = node.owner.dispatcher.state.notifications["a"]
+        assert found.never_sent and found.may_have_run is None and found.pushes == before.pushes
         site.kill()
         del site.told["known"]
         node = await site.start()
@@ -418,7 +421,10 @@
                     calls.book["s-1"] = unused.getsockname()
                 calls.recall({"s-1"})
             await site.until(lambda: node.counters["pushes_unreachable"] and owed(site)["a"].pushes)
-            assert node.owner.at.me.notifications["a"].pushes == 4 and node.counters["pushes_moot"] == 3
+            assert (
+                node.owner.dispatcher.state.notifications["a"].pushes == 4
+                and node.counters["pushes_moot"] == 3
+            )
             assert owed(site)["a"].pushes == 1 and not owed(site)["a"].left
             site.kill()
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -18,11 +18,11 @@
 from juniperlanding.net.counters import VIOLATIONS
 from juniperlanding.net.endpoints import Endpoints
 from juniperlanding.net.line import Line
-from juniperlanding.rules import CloseFacts, Reason, SendFacts, TakeOnFacts
+from juniperlanding.rules import AcceptFacts, CloseFacts, Reason, SendFacts
 from juniperlanding.standins.peers import http, member
 
 SENDABLE = SendFacts(
-    is_owed=True,
+    is_pending=True,
     deadline=10,
     may_have_run=False,
     is_once_only=False,
@@ -36,7 +36,7 @@
     "changed, now, reason",
     [
         ({}, 9, Reason.ALLOWED),
-        ({"is_owed": False}, 1, Reason.ENDED),
+        ({"is_pending": False}, 1, Reason.ENDED),
         ({}, 10, Reason.EXPIRED),
         ({"may_have_run": True}, 4, Reason.ALLOWED),
         ({"may_have_run": True}, 5, Reason.WINDOW_OVER),
@@ -80,7 +80,7 @@
     ],
 )
 def test_what_may_be_taken_on(changed, reason):
-    assert rules.may_take_on(replace(TakeOnFacts(), **changed)).reason is reason
+    assert rules.may_accept(replace(AcceptFacts(), **changed)).reason is reason
 
 
 def test_calls_start_while_their_records_can_be_written_and_nobody_takes_over():
@@ -137,7 +137,7 @@
             await site.until(lambda: node.owner.entries["s-1"][-1] == "draining")
         else:
             node.owner.told_waits["s-1"] = node.owner.now() + 30 * SEC
-            node.owner.at.me.endpoints["s-1"].route.wait_until = node.owner.now() + 30 * SEC
+            node.owner.dispatcher.state.endpoints["s-1"].route.wait_until = node.owner.now() + 30 * SEC
         held.go.set()
         await site.until(lambda: node.counters[VIOLATIONS])
         await trio.sleep(0.05)
@@ -187,7 +187,7 @@
 
     async def scene(site):
         node = await site.start()
-        monkeypatch.setattr(node.owner.at, "give_up", lambda ntf: ntf.destination.waiting.remove(ntf))
+        monkeypatch.setattr(node.owner.dispatcher, "abandon", lambda ntf: ntf.destination.waiting.remove(ntf))
         assert await site.submit("a0", dest=8, ttl=300) == 202
         await site.until(lambda: site.platform.notices)
         assert node.counters["violations_late_end"] == 1
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -422,7 +422,7 @@
     whole = grown([1000] * 40)
     half = whole.share(0.5)
     assert half.left(50_000) == pytest.approx(whole.left(100_000), 0.02)
-    assert half.come.series[-1] == 500 and half.come.mean == 500
+    assert half.come.recent[-1] == 500 and half.come.mean == 500
     half.sample(500, 0, half.live + 500)
     assert half.left(50_000) < whole.left(100_000)
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -142,8 +142,8 @@
     real = Dispatcher(host, {"topic_types": topics, "most_held": 40, "slots": 0}, "", SEC)
     for number in range(40):
         real.notification(number, number % 4, 1)
-    real.me.settings["most_held"] = 1
-    real.turn()  # places run out, and one after the other goes
+    real.state.settings["most_held"] = 1
+    real.decide()  # places run out, and one after the other goes
     crowd = figures({topic["name"]: 10_000 for topic in topics}, slots=4)
     made = project(fleet(west=crowd, east=crowd, north=crowd), "west", topics)
     assert list(made.topics) == list(dict.fromkeys(f"t{number % 4}" for number in host.gone))
@@ -407,8 +407,8 @@
     assert Estimate(1, 0.5, 2).holds(0.5) and not Estimate(1, 0.5, 2).holds(2.1)
     series = Series()
     for value in (5, 5, 5, 5):
-        told.learn(series, value)
-    assert (series.forecast, series.miss) == (5, 0)
+        told.add_sample(series, value)
+    assert (series.forecast, series.rmse) == (5, 0)
 
 
 @pytest.fixture
@@ -431,11 +431,11 @@
 
 
 def test_what_was_learnt_is_handed_over_whole(part):
-    told.learn(part.outages.errors.setdefault(("refused", "news"), Series()), 5)
+    told.add_sample(part.outages.errors.setdefault(("refused", "news"), Series()), 5)
     state, part.outages = json.loads(json.dumps(part.given())), Outages()
     part.taken(state)
     series = part.outages.errors["refused", "news"]
-    assert (series.samples, series.series) == (1, [5]) and not part.lines_of
+    assert (series.samples, series.recent) == (1, [5]) and not part.lines_of
 
 
 def test_a_fault_in_counting_is_a_line_and_ends_no_outcome(part):
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -34,7 +34,7 @@
 
 
 def endpoint_state(node):
-    known = node.owner.at.me.endpoints.get("s-1")
+    known = node.owner.dispatcher.state.endpoints.get("s-1")
     return known and known.state
 
 
@@ -117,12 +117,12 @@
 def test_after_discovery_was_down_for_8_s_the_list_is_asked_for_within_2_s():
     for seed in range(20):
         bed = Bed(list_mode="push", must_ask_in=10 * SEC)
-        bed.at.me.seed = seed
-        back_at = bed.at.now + 8 * SEC
-        while bed.at.now < back_at:
-            bed.at.listed("failed", [])
-            bed.at.now = bed.at.me.subscribe_at
-        assert bed.at.now - back_at < 2 * SEC
+        bed.dispatcher.state.seed = seed
+        warming_since = bed.dispatcher.now + 8 * SEC
+        while bed.dispatcher.now < warming_since:
+            bed.dispatcher.update_endpoints("failed", [])
+            bed.dispatcher.now = bed.dispatcher.state.subscribe_at
+        assert bed.dispatcher.now - warming_since < 2 * SEC
 
 
 def test_after_sigterm_each_request_on_an_open_connection_is_answered(site):
@@ -190,7 +190,7 @@
         node = await site.start()
         for number in range(60):  # the capacity is 50
             await site.submit(f"a{number}", kind, ttl=9000)
-        least = 0.8 * node.owner.at.me.settings["most_held"]
+        least = 0.8 * node.owner.dispatcher.state.settings["most_held"]
         assert len(node.owner.held) > least
         if restart:
             site.kill()
--- a/tests/test_tables_choice.py
+++ b/tests/test_tables_choice.py
@@ -11,7 +11,7 @@
 from conftest import TOPICS, Bed
 from tables import fills, meets, rows
 
-from juniperlanding.choice import MS, SEC, benefit, current_delivery_rate, known
+from juniperlanding.choice import MS, SEC, benefit, current_delivery_rate, known_limit
 
 TIMES = {
     "objective",
@@ -44,8 +44,8 @@
     def __init__(self, bed=(), topic=(), bare=(), seed=7):
         topics = [{k: v for k, v in (t | in_ns(dict(topic))).items() if k not in bare} for t in TOPICS]
         self.bed = Bed(**{"topic_types": topics} | in_ns(dict(bed)))
-        self.at, self.me = self.bed.at, self.bed.at.me
-        self.me.seed = seed
+        self.dispatcher, self.state = self.bed.dispatcher, self.bed.dispatcher.state
+        self.state.seed = seed
 
     # ---- events
 
@@ -62,18 +62,18 @@
 
     def do_turn(self, after=0):
         self.do_idle(after)
-        self.at.turn()
+        self.dispatcher.decide()
 
     def do_idle(self, after):
-        self.at.now += round(float(after) * SEC)
+        self.dispatcher.now += round(float(after) * SEC)
 
     def do_end(self, ntf, ending, after=0.1, number=None, wait=0, **report):
         self.do_idle(after)
-        ids = {"*": [*self.me.pushes], "-1": [k for k in self.me.pushes if k[0] == self.bed.count]}
-        for ntf_id, push in ids.get(ntf) or [k for k in self.me.pushes if k[0] == int(ntf)]:
+        ids = {"*": [*self.state.pushes], "-1": [k for k in self.state.pushes if k[0] == self.bed.count]}
+        for ntf_id, push in ids.get(ntf) or [k for k in self.state.pushes if k[0] == int(ntf)]:
             report = {{"left": "limit_left"}.get(name, name): value for name, value in report.items()}
             over = ending == "delivered"
-            self.at.outcome(ntf_id, push, ending, round(after * SEC), round(wait * SEC), over, report)
+            self.dispatcher.outcome(ntf_id, push, ending, round(after * SEC), round(wait * SEC), over, report)
 
     def do_answers(self, *latencies, dest=1, kind="repeatable"):
         for latency in latencies:
@@ -87,16 +87,16 @@
             self.do_take(ttl=100)
             self.do_turn(turn)
             self.do_end("-1", ending, after)
-            self.at.withdrawn(self.bed.count)
+            self.dispatcher.withdraw(self.bed.count)
 
     def do_fill(self):
-        for dest in self.me.destinations.values():
-            dest.route.pace = dest.route.tokens = 1000.0
-            dest.route.filled_at = self.at.now
+        for dest in self.state.destinations.values():
+            dest.route.rate = dest.route.tokens = 1000.0
+            dest.route.filled_at = self.dispatcher.now
 
     def do_list(self, news, *entries):
         split_entries = [entry.split(":") for entry in entries]
-        self.at.listed(
+        self.dispatcher.update_endpoints(
             news,
             [
                 (int(e), int(d), 0, 50.0, int(zone[0]) if zone else 0, state)
@@ -105,18 +105,18 @@
         )
 
     def do_withdraw(self, ntf):
-        self.at.withdrawn(self.bed.count if ntf == "-1" else int(ntf))
+        self.dispatcher.withdraw(self.bed.count if ntf == "-1" else int(ntf))
 
     def do_note(self, rank, *words):
-        self.at.note(int(rank), " ".join(words).encode())
+        self.dispatcher.note(int(rank), " ".join(words).encode())
 
     def do_stop(self, after):
-        self.at.stopping(self.at.now + round(float(after) * SEC))
+        self.dispatcher.plan_stop(self.dispatcher.now + round(float(after) * SEC))
 
     def do_restart(self, kind, pushes=1, ran=None, zone=0):
         self.bed.count += 1
-        now = self.at.now
-        self.at.notification(
+        now = self.dispatcher.now
+        self.dispatcher.notification(
             self.bed.count,
             KINDS.index(kind),
             1,
@@ -130,21 +130,21 @@
     def do_be(self, what, **state):
         """Set fields of a record; names that end in _ago are times before now."""
         record = {
-            "me": self.me,
+            "me": self.state,
             "endpoint": self.bed.endpoint(),
             "route": self.bed.endpoint().route,
-            "dest": self.at.destination(1),
+            "dest": self.dispatcher.destination(1),
         }[what]
         for name, value in state.items():
             ago = name.endswith("_ago")
-            value = self.at.now - round(value * SEC) if ago else value
+            value = self.dispatcher.now - round(value * SEC) if ago else value
             setattr(record, name.removesuffix("_ago"), value)
 
     # ---- what is observed
 
     def see(self, name):
-        ep, dest, all_ = self.me.endpoints.get(10), self.at.destination(1), self.bed.host.all
-        route, now, pushed = dest.route, self.at.now, self.bed.pushed
+        ep, dest, all_ = self.state.endpoints.get(10), self.dispatcher.destination(1), self.bed.host.all
+        route, now, pushed = dest.route, self.dispatcher.now, self.bed.pushed
         return {
             "pushes": lambda: len(pushed),
             "sent": lambda: [p[0] for p in pushed],
@@ -152,7 +152,7 @@
             "leave": lambda: pushed[-1][3] / SEC,
             "to": lambda: pushed[-1][1],
             "order": lambda: self.letters([p[1] for p in pushed]),
-            "calls": lambda: sorted(len(c.pushes) for e in self.me.endpoints.values() for c in e.calls),
+            "calls": lambda: sorted(len(c.pushes) for e in self.state.endpoints.values() for c in e.calls),
             "throttled": lambda: [f[0] for f in all_("throttled")],
             "again": lambda: all_("throttled")[-1][1] / SEC,
             "expired": lambda: [f[0] for f in all_("expired")],
@@ -163,28 +163,28 @@
             "timer": lambda: all_("timer")[-1][0] / SEC,
             "said": lambda: [line.split(":")[0] for (line,) in all_("log")],
             "forecast": lambda: dest.forecast / SEC,
-            "miss": lambda: dest.miss / SEC,
+            "miss": lambda: dest.rmse / SEC,
             "samples": lambda: dest.samples,
-            "pace": lambda: route.pace,
-            "limit": lambda: known(route),
+            "pace": lambda: route.rate,
+            "limit": lambda: known_limit(route),
             "left": lambda: route.mean_limit_left,
             "wait": lambda: (route.wait_until - now) / SEC,
             "tokens": lambda: route.tokens,
-            "down": lambda: ep.down,
-            "run": lambda: ep.run,
-            "warming": lambda: bool(ep.back_at),
-            "trial": lambda: (ep.trial_at - now) / SEC,
-            "loss": lambda: self.me.own_loss,
-            "slice": lambda: ep.trial_at // (300 * MS) % self.me.dispatchers,
-            "share": lambda: self.at.health.slow_start_rate(ep, 0),
+            "down": lambda: ep.ejected,
+            "run": lambda: ep.failure_run,
+            "warming": lambda: bool(ep.warming_since),
+            "trial": lambda: (ep.probe_at - now) / SEC,
+            "loss": lambda: self.state.own_loss,
+            "slice": lambda: ep.probe_at // (300 * MS) % self.state.dispatchers,
+            "share": lambda: self.dispatcher.health.slow_start_rate(ep, 0),
             "first_part": lambda: ep.tokens,
-            "half_warm": lambda: self.at.health.slow_start_rate(ep, 5 * SEC),
+            "half_warm": lambda: self.dispatcher.health.slow_start_rate(ep, 5 * SEC),
             "usual": lambda: current_delivery_rate(dest, now),
-            "slots": lambda: self.me.slots_out,
-            "held": lambda: len(self.me.notifications),
-            "endpoints": lambda: sorted(self.me.endpoints),
-            "worth_in_4": lambda: benefit(self.me.notifications[self.bed.count], now + 4 * SEC),
-            "worth_in_20": lambda: benefit(self.me.notifications[self.bed.count], now + 20 * SEC),
+            "slots": lambda: self.state.slots_out,
+            "held": lambda: len(self.state.notifications),
+            "endpoints": lambda: sorted(self.state.endpoints),
+            "worth_in_4": lambda: benefit(self.state.notifications[self.bed.count], now + 4 * SEC),
+            "worth_in_20": lambda: benefit(self.state.notifications[self.bed.count], now + 20 * SEC),
         }[name]()
 
     @staticmethod
--- a/tests/test_tables_wire.py
+++ b/tests/test_tables_wire.py
@@ -5,7 +5,7 @@
 from tables import rows
 from test_net import endpoints, send
 
-from juniperlanding.choice import NEVER_RAN, SEC
+from juniperlanding.choice import NOT_EXECUTED, SEC
 from juniperlanding.net import protocol
 from juniperlanding.standins.peers import http
 
@@ -47,7 +47,7 @@
     assert [outcome[2] for outcome in outcomes] == row["want"]
     assert {outcome[5] for outcome in outcomes} == {row.get("over", delivered)}
     assert {outcome[4] for outcome in outcomes} == {int(row.get("wait", 0) * SEC)}
-    assert {outcome[2] not in NEVER_RAN for outcome in outcomes} == {row["ran"]}
+    assert {outcome[2] not in NOT_EXECUTED for outcome in outcomes} == {row["ran"]}
 
 
 def request_of(row):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -120,12 +120,16 @@
         old = await first(site)
         await site.submit("a1")
         await site.until(lambda: old.counters["pushes_throttled"])
-        endpoint = old.owner.at.me.endpoints["s-1"]
-        endpoint.down, endpoint.run = True, 5
+        endpoint = old.owner.dispatcher.state.endpoints["s-1"]
+        endpoint.ejected, endpoint.failure_run = True, 5
         until = endpoint.route.wait_until
         new = await replace(site)
-        other = new.owner.at.me.endpoints["s-1"]
-        assert (other.down, other.run, other.route.wait_until) == (True, 5, until) and other is not endpoint
+        other = new.owner.dispatcher.state.endpoints["s-1"]
+        assert (other.ejected, other.failure_run, other.route.wait_until) == (
+            True,
+            5,
+            until,
+        ) and other is not endpoint
         assert new.owner.held.keys() == {"a1"} and len(site.far.got) == 1
 
     site.run(scene, lambda *message: http(429, b"", "Retry-After: 3"))
@@ -328,7 +332,7 @@
     def fail(me):
         raise TypeError("odd")
 
-    monkeypatch.setattr(carry, "taken_from", fail)
+    monkeypatch.setattr(carry, "export_state", fail)
 
     async def scene(site):
         await first(site)
@@ -379,8 +383,8 @@
         channel.drop(descriptors)
         end.close()
         await site.until(lambda: any("serving on" in text for _, text in site.lines))
-        await site.until(lambda: old.owner.ready and old.owner.at.me.stops_at)
-        assert old.owner.at.me.stops_at == old.stops_at
+        await site.until(lambda: old.owner.ready and old.owner.dispatcher.state.stops_at)
+        assert old.owner.dispatcher.state.stops_at == old.stops_at
         new = await replace(site)
         old.reload(site.reread)  # while it stands by
         new.reload(site.reread)
@@ -543,16 +547,16 @@
     bed.end(throttled, "throttled", wait=3 * SEC)
     bed.take(0)
     bed.turn(0.01)
-    exported = json.loads(json.dumps(carry.taken_from(bed.at.me)))
-    other = Dispatcher(type(bed.host)(), bed.at.me.settings, seed=7, now=bed.at.now)
-    carry.given_to(other.me, exported)
+    exported = json.loads(json.dumps(carry.export_state(bed.dispatcher.state)))
+    other = Dispatcher(type(bed.host)(), bed.dispatcher.state.settings, seed=7, now=bed.dispatcher.now)
+    carry.import_state(other.state, exported)
     asked = len(bed.host.asked)
-    for at in (bed.at, other):
+    for at in (bed.dispatcher, other):
         at.outcome(in_flight, 0, "delivered", latency=SEC // 9, over=True)
         for _ in range(100):
             at.now += SEC // 5
             at.wake(at.now)
-            at.turn()
+            at.decide()
     assert bed.host.asked[asked:] == other.host.asked and other.host.all("push")
 
 
@@ -567,10 +571,10 @@
     ],
 )
 def test_records_that_cannot_be_read_leave_the_module_as_it_was(bed, exported):
-    before = bed.at.me.endpoints
-    with pytest.raises(carry.Unknown):
-        carry.given_to(bed.at.me, exported)
-    assert bed.at.me.endpoints is before
+    before = bed.dispatcher.state.endpoints
+    with pytest.raises(carry.UnreadableState):
+        carry.import_state(bed.dispatcher.state, exported)
+    assert bed.dispatcher.state.endpoints is before
 
 
 # ---- real processes
