--- a/juniperlanding/accord/document.py
+++ b/juniperlanding/accord/document.py
@@ -140,7 +140,7 @@
         reader.fault(name, "shards.least", least, "no more than half of `shards.most`")
 
 
-def refusal(data, own, owner, ledger, memory, sockets, disk):
+def refusal(data, own, decision_loop, ledger, memory, sockets, disk):
     """Why a process cannot take a document in its present state; "" if it can.
 
     own: its settings from its file; memory, disk: bytes it may use; sockets: calls out that it has places
@@ -159,8 +159,8 @@
     ]
     settings = policy.settings(own)
     held, slots = settings.get("most_held"), settings.get("slots", 0)
-    if held is not None and held < len(owner.held):
-        reasons.append(f"most_held is {held}, and it holds {len(owner.held)}")
+    if held is not None and held < len(decision_loop.unfinished):
+        reasons.append(f"most_held is {held}, and it holds {len(decision_loop.unfinished)}")
     if "holding.most_held" in policy.values and held * HELD_BYTES > memory:
         reasons.append(f"most_held is {held}, and its memory has room for {memory // HELD_BYTES}")
     if "holding.slots" in policy.values and slots > sockets:
--- a/juniperlanding/accord/part.py
+++ b/juniperlanding/accord/part.py
@@ -40,7 +40,7 @@
         self.files, self.steady, self.own = node.world.files, node.world.clock.steady, node.config.settings
         self.folder = Folder(self.files, node.config.state, node.log)
         self.tuning = Tuning(licence=told.licence, drift=told.drift)
-        self.accord = self.owner = self.written = None
+        self.accord = self.decision_loop = self.written = None
         self.waiting, self.addresses, self.documents = [], {}, {}
         self.news, self.unwritten, self.decided = trio.Event(), trio.Event(), trio.Event()
         self.until, self.noise = 0, 0
@@ -50,14 +50,14 @@
     # ---- the owner's side
 
     def built(self, node):
-        self.owner, self.documents = node.owner, self.folder.read(TERMS, {})
+        self.decision_loop, self.documents = node.decision_loop, self.folder.read(TERMS, {})
         terms = {0: self.own["topic_types"]}
         for number, document in self.documents.items():
             try:
                 terms[number] = self.settings(document)["topic_types"]
             except Unfit as error:  # threat: an older program cannot read what a newer one took on under
                 self.log("policy", "terms cannot be read", number=number, why=str(error), **error.fields)
-        self.owner.bound(self, terms)
+        self.decision_loop.require_lease(self, terms)
 
     def settings(self, document):
         return read(document).settings(self.own) if document else self.own
@@ -78,7 +78,9 @@
 
     def check(self, document):
         node, told = self.node, self.node.config
-        return refusal(document, self.own, node.owner, node.ledger, told.memory, node.most_calls, told.disk)
+        return refusal(
+            document, self.own, node.decision_loop, node.ledger, told.memory, node.most_calls, told.disk
+        )
 
     # ---- while it serves
 
@@ -178,7 +180,7 @@
             self.log("policy", event, **{name: shown(name, figure) for name, figure in figures.items()})
         if accord.kept is not self.written:
             self.unwritten.set()
-        if accord.number >= 0 and accord.number != self.owner.in_force:
+        if accord.number >= 0 and accord.number != self.decision_loop.policy_number:
             self.decided.set()
         if accord.due() < self.until:
             self.news.set()
@@ -245,8 +247,8 @@
                 self.decided.set()
                 continue
             self.documents, said = kept, None
-            if number != self.owner.in_force:
-                await self.owner.tell(self.owner.settle, number, settings)
+            if number != self.decision_loop.policy_number:
+                await self.decision_loop.enqueue(self.decision_loop.apply_policy, number, settings)
 
     # ---- people
 
@@ -295,7 +297,7 @@
             self.guarded(self.carry_out)
 
     def unready(self):
-        if self.owner.licensed(self.owner.in_force):
+        if self.decision_loop.has_lease_for(self.decision_loop.policy_number):
             return ""
         state = self.accord.state(self.steady()) if self.accord else {"unable": "", "denied": {}}
         denied = ", ".join(f"{voter} says {why}" for voter, why in sorted(state["denied"].items()))
--- a/juniperlanding/emulator/invariants.py
+++ b/juniperlanding/emulator/invariants.py
@@ -277,37 +277,42 @@
 
     def inside(self, dispatcher, now):
         node = dispatcher.node
-        owner, state = node.owner, node.owner.dispatcher.state
-        # While the disk fails the owner waits, and what the sockets tell waits for it.
-        waits = bool(owner.ledger.pending) or owner.inbox.statistics().current_buffer_used
-        calls = len({id(call) for call in owner.endpoints.out.values()})
+        decision_loop, state = node.decision_loop, node.decision_loop.dispatcher.state
+        # While the disk fails the decision loop waits, and what the sockets tell waits for it.
+        waits = (
+            bool(decision_loop.ledger.pending)
+            or decision_loop.event_receiver.statistics().current_buffer_used
+        )
+        calls = len({id(call) for call in decision_loop.endpoints.out.values()})
         self.lasting(
             dispatcher,
             "beliefs",
             now,
             STALE,
-            not waits and (set(state.pushes) != set(owner.endpoints.out) or state.slots_out != calls),
+            not waits and (set(state.pushes) != set(decision_loop.endpoints.out) or state.slots_out != calls),
             f"module believes {len(state.pushes)} pushes out in {state.slots_out} calls, sockets carry "
-            f"{len(owner.endpoints.out)} in {calls}",
+            f"{len(decision_loop.endpoints.out)} in {calls}",
         )
         late = [
             n.id
             for d in state.destinations.values()
             for n in d.waiting
-            if owner.dispatcher.ttl.ends(n) + AT_ONCE < owner.dispatcher.now
+            if decision_loop.dispatcher.ttl.ends(n) + AT_ONCE < decision_loop.dispatcher.now
         ]
         if late:
             self.broke("at once", f"{dispatcher.name} holds {late[0]} though it can no longer go", late[0])
         limits = {
-            "held": (len(owner.held), owner.config.settings.get("most_held", 1 << 30)),
-            "queue": (owner.inbox.statistics().current_buffer_used, 1024),
-            "ledger": (dispatcher.disk_used(), owner.config.disk),
-            "idle connections": (sum(map(len, owner.endpoints.idle.values())), 4096),
+            "held": (len(decision_loop.unfinished), decision_loop.config.settings.get("most_held", 1 << 30)),
+            "queue": (decision_loop.event_receiver.statistics().current_buffer_used, 1024),
+            "ledger": (dispatcher.disk_used(), decision_loop.config.disk),
+            "idle connections": (sum(map(len, decision_loop.endpoints.idle.values())), 4096),
             "timers": (
-                len(owner.timers),
-                2000 + TIMERS_EACH * (len(owner.held) + len(owner.taken) + len(state.endpoints)),
+                len(decision_loop.timers),
+                2000
+                + TIMERS_EACH
+                * (len(decision_loop.unfinished) + len(decision_loop.known_ids) + len(state.endpoints)),
             ),
-            "sockets": (dispatcher.fabric.descriptors(dispatcher.name), owner.config.sockets),
+            "sockets": (dispatcher.fabric.descriptors(dispatcher.name), decision_loop.config.sockets),
         }
         for name, (size, most) in limits.items():
             if size > most:
@@ -326,15 +331,15 @@
         for dispatcher in dispatchers:
             if not dispatcher.alive:
                 continue
-            owner = dispatcher.node.owner
+            decision_loop = dispatcher.node.decision_loop
             left = {
-                "held": len(owner.held),
-                "owed": len(owner.ledger.owed),
-                "out": len(owner.endpoints.out),
-                "remembered ids": len(owner.taken),
-                "pushes": len(owner.dispatcher.state.pushes),
-                "waiting": sum(len(d.waiting) for d in owner.dispatcher.state.destinations.values()),
-                "keys": len(owner.dispatcher.state.keys),
+                "held": len(decision_loop.unfinished),
+                "owed": len(decision_loop.ledger.owed),
+                "out": len(decision_loop.endpoints.out),
+                "remembered ids": len(decision_loop.known_ids),
+                "pushes": len(decision_loop.dispatcher.state.pushes),
+                "waiting": sum(len(d.waiting) for d in decision_loop.dispatcher.state.destinations.values()),
+                "keys": len(decision_loop.dispatcher.state.keys),
             }
             found = {name: count for name, count in left.items() if count}
             if found:
--- a/juniperlanding/emulator/mutants.py
+++ b/juniperlanding/emulator/mutants.py
@@ -64,17 +64,17 @@
     """A wait or drain comes, and what still connects arrives all the same."""
 
 
-@mutant(owner.Owner, "listed")
+@mutant(owner.DecisionLoop, "on_list_news")
 def drains_not_told(self, news, members):
     """The module never hears that an endpoint drains."""
     ready = [((*entry[:5], "ready"), address) for entry, address in members]
-    return LISTED(self, news, ready)
+    return ON_LIST_NEWS(self, news, ready)
 
 
-LISTED = owner.Owner.listed
+ON_LIST_NEWS = owner.DecisionLoop.on_list_news
 
 
-@mutant(owner.Owner, "restore")
+@mutant(owner.DecisionLoop, "restore")
 def ledger_not_read_at_start(self, owed):
     """What an earlier process took on is forgotten."""
 
@@ -123,7 +123,7 @@
 ABANDON = choice.Dispatcher.abandon
 
 
-@mutant(owner.Owner, "call_at")
+@mutant(owner.DecisionLoop, "call_at")
 def some_timers_lost(self, at, function, *fields):
     """One host timer in four is forgotten."""
     self.sequence += 1
@@ -152,7 +152,7 @@
     return choice.PASS if push.candidates else choice.KEEP
 
 
-@mutant(owner.Owner, "check_after_ttl")
+@mutant(owner.DecisionLoop, "check_after_ttl")
 def ids_remembered_for_ever(self, ntf_id, had_turn=False):
     """The ids of what is over are never let go."""
 
@@ -179,11 +179,11 @@
     await UNANSWERED(self, call)
 
 
-@mutant(owner.Owner, "submit")
+@mutant(owner.DecisionLoop, "submit")
 def same_id_runs_again(self, topic, destination, ttl_at, key, body, answer, *keys):
     """An id that is over and comes again is taken on once more."""
-    self.taken.discard(answer.ntf_id)
+    self.known_ids.discard(answer.ntf_id)
     return SUBMIT(self, topic, destination, ttl_at, key, body, answer, *keys)
 
 
-SUBMIT = owner.Owner.submit
+SUBMIT = owner.DecisionLoop.submit
--- a/juniperlanding/emulator/process.py
+++ b/juniperlanding/emulator/process.py
@@ -72,7 +72,7 @@
 
     @property
     def ready(self):
-        return self.alive and self.node.owner.ready
+        return self.alive and self.node.decision_loop.ready
 
     def disk_used(self):
         return self.disk.used() - -(-len(self.disk.files[CONFIG]) // BLOCK) * BLOCK
@@ -119,7 +119,7 @@
 
     async def look(self):
         """When it was ready, and that it still is."""
-        while not self.node.owner.ready:
+        while not self.node.decision_loop.ready:
             await trio.sleep(0.005)
         self.ready_at = max(self.ready_at, elapsed())  # an excuse may outlast a restart
         self.seen_ready = True
@@ -141,8 +141,8 @@
     def release(self):
         """Threat to the rig alone: a dead owner's queue that is full holds shielded senders for ever."""
         if self.node:
-            self.node.owner.queue = self.node.owner.queue.clone()
-            self.node.owner.inbox.close()
+            self.node.decision_loop.event_sender = self.node.decision_loop.event_sender.clone()
+            self.node.decision_loop.event_receiver.close()
 
     def kill(self):
         """SIGKILL."""
--- a/juniperlanding/ground/part.py
+++ b/juniperlanding/ground/part.py
@@ -20,8 +20,8 @@
         return {}
 
     def built(self, node):
-        """Called when `node.owner`, `node.ledger` and the other `node.parts` exist: at the start, and again
-        when this process takes its folder back after a failed hand-over."""
+        """Called when `node.decision_loop`, `node.ledger` and the other `node.parts` exist: at the start,
+        and again when this process takes its folder back after a failed hand-over."""
 
     async def run(self):
         """Runs while this process owns its folder; cancelled when it no longer does."""
--- a/juniperlanding/net/clients.py
+++ b/juniperlanding/net/clients.py
@@ -37,9 +37,9 @@
 
 
 class Clients:
-    def __init__(self, config, clock, max_connections, owner, counters, log):
+    def __init__(self, config, clock, max_connections, decision_loop, counters, log):
         self.now = clock.now
-        self.owner = owner
+        self.decision_loop = decision_loop
         self.counters = counters
         self.log = log
         self.max_connections = max_connections
@@ -158,7 +158,7 @@
         self.freed_at = now
         if self.lingering:
             next(iter(self.lingering.values())).cancel()
-        elif not self.owner.endpoints.evict():
+        elif not self.decision_loop.endpoints.evict():
             self.evict()
 
     def is_over_limit(self):
@@ -253,7 +253,7 @@
         )
         if reason in ENDED_BY_US and not rules.may_close(facts).is_allowed:
             client = "{}:{}".format(*peer)
-            self.owner.trace.violation(rules.Rule.CLOSED_UNANSWERED, client, end=reason)
+            self.decision_loop.trace.violation(rules.Rule.CLOSED_UNANSWERED, client, end=reason)
 
     def count_unanswered(self):
         """Count each connection with a complete request and no response, as the process ends now."""
@@ -352,7 +352,11 @@
     async def handle(self, connection, request, body):
         path = request.target.partition(b"?")[0]
         if request.method == b"GET" and path == protocol.HEALTH_PATH:
-            is_healthy = self.owner.ready and not self.draining and self.owner.licensed(self.owner.in_force)
+            is_healthy = (
+                self.decision_loop.ready
+                and not self.draining
+                and self.decision_loop.has_lease_for(self.decision_loop.policy_number)
+            )
             return await self.respond(connection, 200 if is_healthy else 503)
         if request.method == b"GET" and path == protocol.COUNTERS_PATH:
             return await self.respond(connection, 200, payload=self.counters.text().encode())
@@ -380,34 +384,34 @@
             )
         except (KeyError, ValueError):
             return await self.respond(connection, 400)
-        if topic not in self.owner.topics:
+        if topic not in self.decision_loop.topics:
             return await self.respond(connection, 400)
         answer = Answer(ntf_id)
         # After the process was suspended, the client may have left and submitted it to another dispatcher.
         verdict = rules.may_accept(
             rules.AcceptFacts(
-                is_ready=self.owner.ready,
-                is_writable=not self.owner.stuck,
+                is_ready=self.decision_loop.ready,
+                is_writable=not self.decision_loop.ledger_failing,
                 is_stopping=self.closing,
                 has_client_left=connection.waiting() == b"",
             )
         )
-        event = self.owner.submit, topic, destination, ttl_at, key, body, answer, *keys
-        if verdict.is_allowed and not self.owner.tell_now(*event):
-            verdict = rules.Verdict(rules.Reason.NO_PLACE)  # the owner's queue is full
+        event = self.decision_loop.submit, topic, destination, ttl_at, key, body, answer, *keys
+        if verdict.is_allowed and not self.decision_loop.try_enqueue(*event):
+            verdict = rules.Verdict(rules.Reason.NO_PLACE)  # the decision loop's queue is full
         if not verdict.is_allowed:
-            self.owner.trace.refused(ntf_id, verdict.reason)
-            self.counters.ended(topic, DECLINED)
+            self.decision_loop.trace.refused(ntf_id, verdict.reason)
+            self.counters.count_result(topic, DECLINED)
             return await self.respond(connection, 503)
         await answer.ready.wait()
-        extra_headers = [("Retry-After", f"{answer.again_in / SEC:.3f}")] if answer.again_in else []
-        if self.owner.licence is not None and answer.took and answer.status == 202:
-            extra_headers = [(protocol.POLICY, str(answer.under))]
+        extra_headers = [("Retry-After", f"{answer.retry_after / SEC:.3f}")] if answer.retry_after else []
+        if self.decision_loop.lease is not None and answer.is_accepted and answer.status == 202:
+            extra_headers = [(protocol.POLICY, str(answer.policy_number))]
         try:
             return await self.respond(connection, answer.status, extra_headers)
         except GONE:
             # Withdraw the notification only if this request got it accepted: a repeated request with the same
             # id that goes unheard must not withdraw what the first one got a 202 for.
-            if answer.took and answer.status == 202:
-                await self.owner.tell(self.owner.unheard, answer)
+            if answer.is_accepted and answer.status == 202:
+                await self.decision_loop.enqueue(self.decision_loop.undo_unheard, answer)
             raise
--- a/juniperlanding/net/counters.py
+++ b/juniperlanding/net/counters.py
@@ -22,10 +22,10 @@
         super().__init__({result_name(topic, result): 0 for topic in topics for result in results})
         self[FORWARDS] = 0
 
-    def ended(self, topic, result):
+    def count_result(self, topic, result):
         self[result_name(topic, result)] += 1
 
-    def unserved(self, topic):
+    def not_delivered_in_time(self, topic):
         """How many notifications of a topic type ended without a delivery in time."""
         return self[result_name(topic, DECLINED)] + self[result_name(topic, ABORTED)]
 
--- a/juniperlanding/net/node.py
+++ b/juniperlanding/net/node.py
@@ -15,7 +15,7 @@
 from juniperlanding.net.endpoints import Endpoints
 from juniperlanding.net.ledger import Damaged
 from juniperlanding.net.notices import Notices
-from juniperlanding.net.owner import Owner
+from juniperlanding.net.owner import DecisionLoop
 from juniperlanding.net.succession import Offer, Succession
 
 # Descriptors for everything but the connections limited here: 16 are in use, the others are spare.
@@ -96,17 +96,24 @@
         if offer:
             offer.resume(world.clock)
         self.ledger = parts.books(configuration, world.files, bool(offer), world.clock)
-        self.owner = owner = Owner(configuration, world.clock, self.ledger, *common)
+        self.decision_loop = decision_loop = DecisionLoop(configuration, world.clock, self.ledger, *common)
         max_clients, self.most_calls = connection_limits(configuration)
-        call_ended = partial(owner.tell, owner.finished)
-        owner.endpoints = Endpoints(
-            configuration, world, self.most_calls, call_ended, *common, owner.may_leave
+        call_ended = partial(decision_loop.enqueue, decision_loop.on_outcomes)
+        decision_loop.endpoints = Endpoints(
+            configuration, world, self.most_calls, call_ended, *common, decision_loop.may_leave
         )
-        owner.notices = Notices(
-            world.network, configuration.discovery, partial(owner.tell, owner.end), *common
+        decision_loop.notices = Notices(
+            world.network,
+            configuration.discovery,
+            partial(decision_loop.enqueue, decision_loop.record_end),
+            *common,
+        )
+        decision_loop.discovery = Discovery(
+            configuration, world.network, partial(decision_loop.enqueue, decision_loop.on_list_news), self.log
+        )
+        self.clients = decision_loop.clients = Clients(
+            configuration, world.clock, max_clients, decision_loop, *common
         )
-        owner.discovery = Discovery(configuration, world.network, partial(owner.tell, owner.listed), self.log)
-        self.clients = owner.clients = Clients(configuration, world.clock, max_clients, owner, *common)
         part_states = offer.state.get("parts", {}) if offer else {}
         for part in self.parts:
             if part.section in part_states:
@@ -134,19 +141,19 @@
     async def serve(self, task_status):
         """Serve as the owner of the folder until another process asks for it; returns the offer to hand
         over."""
-        configuration, owner, listener = self.config, self.owner, self.listener
+        configuration, decision_loop, listener = self.config, self.decision_loop, self.listener
         listener.listen()
         known = protocol.entries(
             configuration.known.get("members", []), configuration.kinds, configuration.zones
         )
-        await owner.tell(owner.begin, known, self.offer)
+        await decision_loop.enqueue(decision_loop.start_module, known, self.offer)
         self.offer = None
         if self.stops_at:  # SIGTERM came during a hand-over that then failed
-            await owner.tell(owner.dispatcher.plan_stop, self.stops_at)
+            await decision_loop.enqueue(decision_loop.dispatcher.plan_stop, self.stops_at)
         if configuration.settings.get("list_mode") != "ask":
             # By way of the queue: discovery must not ask before the first iteration of the decision loop has
             # given it the revision that the previous process had.
-            await owner.tell(owner.discovery.subscribe, True)
+            await decision_loop.enqueue(decision_loop.discovery.subscribe, True)
         self.succession.open(self.nursery, self.freeze)
         self.log(
             "start",
@@ -162,20 +169,24 @@
         if self.ledger.damaged:
             self.log("ledger", "records cannot be read", records=self.ledger.damaged, **Damaged().fields)
         async with trio.open_nursery() as nursery:
-            for part in (owner.notices.run, owner.discovery.run, owner.endpoints.sweep):
+            for part in (
+                decision_loop.notices.run,
+                decision_loop.discovery.run,
+                decision_loop.endpoints.sweep,
+            ):
                 nursery.start_soon(part)
             nursery.start_soon(self.clients.listen, listener, nursery)
             for part in self.parts:
                 nursery.start_soon(part.run)
             task_status.started(listener.address)
-            await owner.run(nursery)
+            await decision_loop.run(nursery)
             offer = Offer.from_node(self)
             nursery.cancel_scope.cancel()
         return offer
 
     async def freeze(self, within):
         if not self.clients.closing:  # a process about to end could not complete the hand-over
-            await self.owner.tell(self.owner.freeze, within)
+            await self.decision_loop.enqueue(self.decision_loop.freeze, within)
 
     async def stand_by(self):
         """Wait for the process that took over to end, then serve again: if it ends early, what it accepted is
@@ -217,12 +228,12 @@
 
     def load(self):
         """The load that is reported to other dispatchers: (pending notifications, pushes in flight)."""
-        return len(self.ledger.owed), self.owner.dispatcher.state.slots_out
+        return len(self.ledger.owed), self.decision_loop.dispatcher.state.slots_out
 
     def check_ready(self):
         if self.replaced:
             raise door.No("replaced")
-        if not self.owner.ready or self.clients.draining:
+        if not self.decision_loop.ready or self.clients.draining:
             raise door.No("draining" if self.clients.draining else "starting")
         for part in self.parts:
             if why := part.unready():
@@ -230,7 +241,10 @@
         return []
 
     def figures(self):
-        return [*self.counters.figures(**parts.merged(self.parts, "gauges", self.owner.gauges())), "--"]
+        return [
+            *self.counters.figures(**parts.merged(self.parts, "gauges", self.decision_loop.gauges())),
+            "--",
+        ]
 
     def release(self):
         """Release address and folder for other processes."""
@@ -263,8 +277,8 @@
         self.log("config", "read again", discovery="{}:{}".format(*discovery))
         if discovery != self.config.discovery:
             self.config.discovery = discovery
-            self.owner.discovery.move(discovery)
-            self.owner.notices.move(discovery)
+            self.decision_loop.discovery.move(discovery)
+            self.decision_loop.notices.move(discovery)
         self.reread_after = REREAD
         for part in self.parts:
             part.reload()
@@ -291,12 +305,12 @@
         gets it.  Ends early when no client is connected and nothing is pending."""
         began = trio.current_time()
         self.enter("draining")
-        self.log("stop", "draining", held=len(self.owner.held))
+        self.log("stop", "draining", held=len(self.decision_loop.unfinished))
         time_limit = protocol.KILL_AFTER - protocol.PATIENCE / 4
         with trio.move_on_after(time_limit - LAST_WORDS):
             if not self.replaced:
                 self.stops_at = self.world.clock.now() + int(time_limit * SEC)
-                await self.owner.tell(self.owner.dispatcher.plan_stop, self.stops_at)
+                await self.decision_loop.enqueue(self.decision_loop.dispatcher.plan_stop, self.stops_at)
             while not self.replaced and (
                 self.clients.open or self.ledger.owed or trio.current_time() < began + protocol.PATIENCE
             ):
@@ -315,12 +329,12 @@
         process is killed."""
         with trio.move_on_after(LAST_ANSWERED):
             await self.send_last_answers()
-        if self.replaced or self.owner.frozen:
+        if self.replaced or self.decision_loop.frozen:
             return
         await self.clients.close(self.listener)  # on a loaded machine the call above may not have got to it
-        await self.owner.tell(self.owner.park)
-        await self.owner.parked.wait()
-        await self.owner.endpoints.withdraw()
+        await self.decision_loop.enqueue(self.decision_loop.stop_loop)
+        await self.decision_loop.loop_stopped.wait()
+        await self.decision_loop.endpoints.withdraw()
 
     async def send_last_answers(self):
         """Accept what waits in the backlog, close the listener, and wait until every client has its answer.
@@ -332,7 +346,7 @@
         while accepted != self.clients.came and trio.current_time() < closes_at:
             accepted = self.clients.came
             await trio.sleep(LAST_POLL_INTERVAL)
-        if self.replaced or self.owner.frozen:
+        if self.replaced or self.decision_loop.frozen:
             return
         await self.clients.close(self.listener)
         while self.clients.busy() or self.clients.waiting:
@@ -342,9 +356,9 @@
     def close(self):
         """End; whether every ledger record could be written."""
         self.enter("leaving")
-        if not self.replaced and not self.owner.frozen:
+        if not self.replaced and not self.decision_loop.frozen:
             self.clients.count_unanswered()
-            self.owner.hear_out()
+            self.decision_loop.process_remaining_events()
         try:
             self.ledger.close()
         except OSError as error:
--- a/juniperlanding/net/notices.py
+++ b/juniperlanding/net/notices.py
@@ -27,7 +27,7 @@
         # due: id -> (outcome, milliseconds until a retry), oldest first; line: the connection that is kept
         self.due, self.added, self.line = {}, trio.Event(), None
         self.batch_limit = MAX_BATCH
-        self.patience = ANSWER_TIMEOUT  # seconds for the next answer
+        self.answer_timeout = ANSWER_TIMEOUT  # seconds for the next answer
         self.rejected_alone = set()  # those due that the platform could not read even when posted alone
 
     def add(self, ntf_id, outcome, retry_ms):
@@ -38,7 +38,7 @@
         """Post to another address from the next attempt on; a post in flight that gets no answer is repeated
         there."""
         self.address = address
-        self.patience = ANSWER_TIMEOUT
+        self.answer_timeout = ANSWER_TIMEOUT
         if self.line:
             self.close(self.line, "moved")
             self.line = None
@@ -57,7 +57,7 @@
 
     async def confirm(self, posted):
         """Count and pass on the notices that the platform has accepted."""
-        self.batch_limit, self.patience = min(2 * self.batch_limit, MAX_BATCH), ANSWER_TIMEOUT
+        self.batch_limit, self.answer_timeout = min(2 * self.batch_limit, MAX_BATCH), ANSWER_TIMEOUT
         self.counters["notices_posted"] += len(posted)
         for ntf_id in posted:
             self.due.pop(ntf_id, None)
@@ -111,10 +111,10 @@
         line, self.line = self.line, None
         if line and not line.quiet():
             line = self.close(line, "closed_by_platform")
-        with trio.move_on_after(self.patience):
+        with trio.move_on_after(self.answer_timeout):
             await self.post_once(line, answers)
         if not answers:
-            self.patience = min(2 * self.patience, MAX_ANSWER_TIMEOUT)
+            self.answer_timeout = min(2 * self.answer_timeout, MAX_ANSWER_TIMEOUT)
         scope.cancel()
 
     async def post_once(self, line, answers):
--- a/juniperlanding/net/owner.py
+++ b/juniperlanding/net/owner.py
@@ -17,7 +17,7 @@
 from juniperlanding.net.endpoints import Send
 from juniperlanding.net.trace import Trace
 
-ROUND = 256  # events taken in one iteration at most
+MAX_EVENTS_PER_ITERATION = 256  # events taken in one iteration at most
 QUIESCENCE_POLL = 0.005  # seconds between checks whether a frozen process has come to rest
 # No iteration for so long: the process may have been suspended. If it was only idle, this costs an extra
 # poll or two of the sockets.
@@ -27,7 +27,7 @@
 MAX_WRITE_BACKOFF = 50 * MS
 MIN_CLOCK_STEP = MS  # a wall clock that is off by less has not been stepped
 MAX_END_DELAY = 300 * MS  # after its TTL, the end of a notification is due
-LAST_CALL = SEC // 5  # after its TTL, the owner ends what the module has not, after one more iteration
+END_GRACE = SEC // 5  # after its TTL, the loop ends what the module has not, after one more iteration
 
 
 CAPACITY_REASONS = (rules.Reason.NO_PLACE, rules.Reason.NO_DISK)
@@ -37,13 +37,14 @@
     """The answer to one submission, for which a client waits."""
 
     def __init__(self, ntf_id):
-        self.ntf_id, self.ready, self.status, self.again_in = ntf_id, trio.Event(), 503, 0
-        self.took = False  # whether it is this request that was accepted, and not the same id before it
+        self.ntf_id, self.ready, self.status, self.retry_after = ntf_id, trio.Event(), 503, 0
+        # Whether it is this request that was accepted, and not the same id before it.
+        self.is_accepted = False
         self.is_shared = False  # whether another request with the same id is answered 202, too
-        self.under = 0  # number of the policy that was in force at acceptance
+        self.policy_number = 0  # number of the policy that was in force at acceptance
 
 
-class Owner:
+class DecisionLoop:
     """The decision module's host on sockets."""
 
     def __init__(self, config, clock, ledger, counters, log):
@@ -54,46 +55,50 @@
         self.clock = clock
         self.now = clock.now
         self.batch_sizes = config.settings.get("batch_by_kind", [])
-        self.held = {}  # what the module has not ended: id -> its client's `Answer`; the ledger has the rest
-        self.taken = set()  # ids until their TTL, so that one that comes again after its end runs only once
+        # What the module has not ended: id -> its client's `Answer`; the ledger has the rest.
+        self.unfinished = {}
+        # Ids until their TTL, so that one that comes again after its end runs only once.
+        self.known_ids = set()
         self.timers = []  # a heap of (time, sequence number, function, its arguments)
         self.sequence = 0
         self.entries = {}  # endpoint -> its entry in the list, as the module got it
         self.trace = Trace(log, counters, config.trace)
-        self.told_waits = {}  # endpoint -> end of the Retry-After wait that it, or its route, asked for
+        # Endpoint -> end of the Retry-After wait that it, or its route, asked for.
+        self.retry_after_until = {}
         # What this iteration asked for; it is carried out once the ledger is written.
         self.new_calls = {}
-        self.cancels = []
-        self.answers = []
+        self.cancels_due = []
+        self.answers_due = []
         self.notices_due = []
-        self.queue, self.inbox = trio.open_memory_channel(ROUND * 4)
+        self.event_sender, self.event_receiver = trio.open_memory_channel(MAX_EVENTS_PER_ITERATION * 4)
         self.endpoints = self.notices = self.discovery = self.clients = None
-        self.ready, self.frozen, self.parked = False, False, trio.Event()
-        self.watch = None  # a part that counts submissions and answers
-        self.stuck = False  # whether the ledger cannot be written
+        self.ready, self.frozen, self.loop_stopped = False, False, trio.Event()
+        self.observer = None  # a part that counts submissions and answers
+        self.ledger_failing = False  # whether the ledger cannot be written
         self.next_write_at = 0  # when a ledger that could not be written is tried again
         self.write_backoff = WRITE_BACKOFF
         self.iteration_delay = 0  # how late this iteration comes after the timer that it was due for
-        self.stuck_since = 0
+        self.ledger_failing_since = 0
         self.logged_write_error = None
         self.dispatcher = Dispatcher(self, config.settings, config.seed, self.now())
         # None: no lease is needed. Else `holds()` is the policy number under which new notifications may be
         # accepted, or None if there is none at present.
-        self.licence = None
-        self.in_force = 0
-        self.terms = {}  # policy number -> topic types, for each policy with pending notifications
+        self.lease = None
+        self.policy_number = 0
+        # Policy number -> topic types, for each policy with pending notifications.
+        self.topic_types_by_policy = {}
         self.topics = self.topic_indexes()
 
-    # ---- events of socket tasks: each is a function that the owner calls in its next iteration
+    # ---- events of socket tasks: each is a function that the loop calls in its next iteration
 
-    async def tell(self, function, *fields):
-        with suppress(trio.BrokenResourceError):  # the owner has ended and takes no more events
-            await self.queue.send((function, fields))
+    async def enqueue(self, function, *fields):
+        with suppress(trio.BrokenResourceError):  # the loop has ended and takes no more events
+            await self.event_sender.send((function, fields))
 
-    def tell_now(self, function, *fields):
+    def try_enqueue(self, function, *fields):
         """For clients: False if the queue is full, so that they can be rejected."""
         try:
-            self.queue.send_nowait((function, fields))
+            self.event_sender.send_nowait((function, fields))
         except (trio.WouldBlock, trio.BrokenResourceError):
             return False
         return True
@@ -104,36 +109,38 @@
         types = self.dispatcher.state.settings["topic_types"]
         return {topic.get("name"): index for index, topic in enumerate(types)}
 
-    def bound(self, licence, terms):
+    def require_lease(self, lease, topic_types_by_policy):
         """From now on new work is accepted under a lease only; none is held yet."""
-        self.licence, self.in_force, self.terms = licence, -1, terms
+        self.lease, self.policy_number, self.topic_types_by_policy = lease, -1, topic_types_by_policy
 
-    def settle(self, number, settings):
+    def apply_policy(self, number, settings):
         """Put a policy in force from this iteration on; what was accepted before keeps its topic types."""
         # An earlier process may have accepted notifications under the same number: its topic types stay.
-        types = self.terms.get(number, settings["topic_types"])
+        types = self.topic_types_by_policy.get(number, settings["topic_types"])
         self.dispatcher.update_settings(settings | {"topic_types": types})
-        self.in_force, self.topics = number, self.topic_indexes()
+        self.policy_number, self.topics = number, self.topic_indexes()
         needed = {owed.under for owed in self.ledger.owed.values()} | {0}
-        self.terms = {one: kept for one, kept in self.terms.items() if one in needed} | {number: types}
+        self.topic_types_by_policy = {
+            one: kept for one, kept in self.topic_types_by_policy.items() if one in needed
+        } | {number: types}
 
-    def licensed(self, under):
-        return self.licence is None or self.licence.holds() == under
+    def has_lease_for(self, policy_number):
+        return self.lease is None or self.lease.holds() == policy_number
 
     def settings_for(self, owed):
         """The settings with the topic types that were in force when a notification was accepted."""
-        settings, types = self.dispatcher.state.settings, self.terms.get(owed.under)
+        settings, types = self.dispatcher.state.settings, self.topic_types_by_policy.get(owed.under)
         return settings | {"topic_types": types} if types else settings
 
     # ---- the decision loop
 
-    def begin(self, known, offer=None):
+    def start_module(self, known, offer=None):
         """The first event: give the module the last known list and what is pending in the ledger, or let it
         continue from the state that the old process hands over, so that nothing starts anew."""
         state = self.dispatcher.state
         if not (offer and self.inherit(offer)):
             self.dispatcher.start()
-            self.guarded(self.listed, "cached", known)
+            self.guarded(self.on_list_news, "cached", known)
         for owed in list(self.ledger.owed.values()):
             self.guarded(self.restore, owed)
         for ntf_id in state.notifications.keys() - self.ledger.owed.keys():
@@ -142,8 +149,8 @@
             # Its connection was not handed over.
             self.guarded(self.dispatcher.outcome, ntf_id, number, "reset")
         for ntf_id, ttl_at in list(self.ledger.over.items()):
-            self.taken.add(ntf_id)
-            self.call_at(max(ttl_at, self.dispatcher.now) + LAST_CALL, self.check_after_ttl, ntf_id)
+            self.known_ids.add(ntf_id)
+            self.call_at(max(ttl_at, self.dispatcher.now) + END_GRACE, self.check_after_ttl, ntf_id)
         self.ready = True
 
     def inherit(self, offer):
@@ -152,7 +159,7 @@
         self.clients.inherit(self.nursery, offer.clients())
         try:
             offer.fits(self.config.settings)
-            carry.import_state(self.dispatcher.state, offer.state["module"], self.terms)
+            carry.import_state(self.dispatcher.state, offer.state["module"], self.topic_types_by_policy)
         except carry.UnreadableState as error:
             # The state is of another version. As after a kill, calls that were in flight may have run.
             self.log_line("upgrade", "the module begins from the ledger", why=str(error))
@@ -170,12 +177,12 @@
     def restore(self, owed):
         """Give the module what an earlier process accepted, or post its notice again."""
         self.counters["restored"] += 1
-        self.taken.add(owed.id)
-        self.call_at(max(owed.ttl_at, self.dispatcher.now) + LAST_CALL, self.check_after_ttl, owed.id)
+        self.known_ids.add(owed.id)
+        self.call_at(max(owed.ttl_at, self.dispatcher.now) + END_GRACE, self.check_after_ttl, owed.id)
         if owed.notice:
             self.counters["notices_due"] += 1
             return self.notices_due.append((owed.id, *owed.notice))
-        self.held[owed.id] = None
+        self.unfinished[owed.id] = None
         if owed.id in self.dispatcher.state.notifications:
             return  # handed over with all that the module knows of it
         if owed.ttl_at <= self.dispatcher.now:
@@ -205,7 +212,7 @@
         The queue is closed with the loop. Nothing would read it any more, and a task with an event that must
         not be lost would wait on the full queue for ever and keep the process from ending."""
         self.nursery = nursery
-        with self.inbox:
+        with self.event_receiver:
             await self.run_loop()
 
     async def run_loop(self):
@@ -219,11 +226,13 @@
             while self.timers and self.timers[0][0] <= now:
                 self.guarded(*heapq.heappop(self.timers)[2:])
             if not self.frozen:
-                self.guarded(self.dispatcher.decide, rules.may_start(not self.stuck, self.frozen).is_allowed)
+                self.guarded(
+                    self.dispatcher.decide, rules.may_start(not self.ledger_failing, self.frozen).is_allowed
+                )
             self.write_iteration()
-            self.carry_out()
-            if self.parked.is_set():
-                await trio.sleep_forever()  # `hear_out` handles later events
+            self.execute_requests()
+            if self.loop_stopped.is_set():
+                await trio.sleep_forever()  # `process_remaining_events` handles later events
 
     def update_wall_clock(self):
         """Tell the module how far the machine's wall clock is ahead of this process's clock, if that changed.
@@ -234,14 +243,14 @@
         if abs(ahead - self.dispatcher.wall_clock_ahead) >= MIN_CLOCK_STEP:
             self.dispatcher.wall_clock_ahead = ahead
 
-    def park(self):
+    def stop_loop(self):
         """Take no iteration after this one. Cancelling the loop instead could lose an event that it took."""
-        self.parked.set()
+        self.loop_stopped.set()
 
     def is_quiescent(self):
         if self.ledger.pending:
             return False  # the new process reads the ledger from the folder
-        queue = self.inbox.statistics()
+        queue = self.event_receiver.statistics()
         idle = not queue.current_buffer_used and not queue.tasks_waiting_send
         if trio.current_time() > self.freeze_deadline:
             self.log_line("upgrade", "connections still busy at the time limit", clients=self.clients.open)
@@ -257,13 +266,13 @@
     def write_iteration(self):
         """Write what this iteration decided; nothing is sent and no client gets a 202 before that.
 
-        While the disk fails (`stuck`), outcomes of calls in flight still count, notifications that can no
-        longer be delivered are ended, and new ones are rejected at once."""
-        if not self.stuck or self.dispatcher.now >= self.next_write_at:
+        While the disk fails (`ledger_failing`), outcomes of calls in flight still count, notifications that
+        can no longer be delivered are ended, and new ones are rejected at once."""
+        if not self.ledger_failing or self.dispatcher.now >= self.next_write_at:
             self.flush_ledger()
-        if self.stuck:
+        if self.ledger_failing:
             self.undo_iteration()
-        elif self.licence is not None and self.answers:
+        elif self.lease is not None and self.answers_due:
             self.recheck_lease()
 
     def flush_ledger(self):
@@ -271,14 +280,14 @@
         try:
             self.flush_with_retries()
             self.write_backoff = WRITE_BACKOFF
-            if self.stuck:
-                self.stuck = False
+            if self.ledger_failing:
+                self.ledger_failing = False
                 self.logged_write_error = None
-                after = (now - self.stuck_since) / SEC
+                after = (now - self.ledger_failing_since) / SEC
                 self.log_line("ledger", "writes again", after=f"{after:.2f}s")
         except OSError as error:
-            self.stuck_since = self.stuck_since if self.stuck else now
-            self.stuck = True
+            self.ledger_failing_since = self.ledger_failing_since if self.ledger_failing else now
+            self.ledger_failing = True
             self.next_write_at = now + self.write_backoff
             self.write_backoff = min(2 * self.write_backoff, MAX_WRITE_BACKOFF)
             if self.logged_write_error != (message := described(error)):
@@ -321,25 +330,25 @@
         notification = self.dispatcher.state.notifications.get(send.id)
         listed = self.dispatcher.state.endpoints.get(endpoint)
         return rules.SendFacts(
-            is_pending=send.id in self.held and notification is not None and not send.over,
+            is_pending=send.id in self.unfinished and notification is not None and not send.over,
             deadline=send.ttl_at,
             may_have_run=notification is not None and notification.may_have_run is not None,
             is_once_only=notification is not None and notification.topic.get("kind") == "once-only",
             repeats_until=repeats_until(notification) if notification else 0,
             is_in_service=listed is not None and listed.state == "ready",
-            wait_until=self.told_waits.get(endpoint, 0),
+            wait_until=self.retry_after_until.get(endpoint, 0),
         )
 
     def record_sends(self, sends):
         """Record in the ledger that these pushes may have run; whether it could be written, else none may
         leave."""
         now = self.now()
-        if not self.stuck:
+        if not self.ledger_failing:
             for send in sends:
                 if send.id in self.ledger.owed:
                     self.ledger.write("p", send.id, send.number, send.zone, now)
             self.flush_ledger()
-        return not self.stuck
+        return not self.ledger_failing
 
     def recheck_lease(self):
         """Reject what this iteration accepted if its lease has ended since.
@@ -348,8 +357,8 @@
         notification is pending under its policy number, whenever the client gets its answer."""
         unleased = {
             answer.ntf_id: answer
-            for answer in self.answers
-            if answer.took and answer.status == 202 and not self.licensed(answer.under)
+            for answer in self.answers_due
+            if answer.is_accepted and answer.status == 202 and not self.has_lease_for(answer.policy_number)
         }
         if not unleased:
             return
@@ -358,19 +367,19 @@
                 self.guarded(self.dispatcher.outcome, send.id, send.number, "moot")
             self.new_calls[key] = [send for send in sends if send.id not in unleased]
         for ntf_id in unleased:
-            self.counters.ended(self.ledger.owed[ntf_id].topic, DECLINED)
+            self.counters.count_result(self.ledger.owed[ntf_id].topic, DECLINED)
             self.undo_acceptance(ntf_id)
         # An id that came twice in this iteration has two answers.
-        rejected = [answer for answer in self.answers if answer.ntf_id in unleased]
+        rejected = [answer for answer in self.answers_due if answer.ntf_id in unleased]
         for answer in rejected:
-            answer.status, answer.again_in = 503, self.licence.again_in()
+            answer.status, answer.retry_after = 503, self.lease.again_in()
         try:
             self.ledger.flush()
         except OSError as error:
             # The ledger on disk still has them as pending: after a kill, the next process would send them. So
             # their clients get a 500, which promises nothing.
             self.log_line("ledger", "cannot write", why=described(error))
-            self.stuck = True
+            self.ledger_failing = True
             self.next_write_at = self.dispatcher.now + WRITE_BACKOFF
             self.undo_iteration()
             for answer in rejected:
@@ -381,11 +390,11 @@
         for send in [send for sends in self.new_calls.values() for send in sends]:
             self.guarded(self.dispatcher.outcome, send.id, send.number, "moot")
         self.new_calls.clear()
-        for answer in self.answers:
-            if self.held.get(answer.ntf_id) is answer:
+        for answer in self.answers_due:
+            if self.unfinished.get(answer.ntf_id) is answer:
                 # If a partial write cannot be cut off, it may be sent after a kill: 500 promises nothing.
                 answer.status, result = (500, ABORTED) if self.ledger.torn else (503, DECLINED)
-                self.counters.ended(self.ledger.owed[answer.ntf_id].topic, result)
+                self.counters.count_result(self.ledger.owed[answer.ntf_id].topic, result)
                 self.undo_acceptance(answer.ntf_id)
             else:
                 answer.status = 503
@@ -393,17 +402,17 @@
     async def receive_events(self):
         events = []
         time_left = (self.timers[0][0] - self.now()) / SEC if self.timers else float("inf")
-        if self.stuck:
+        if self.ledger_failing:
             time_left = min(time_left, max(0, self.next_write_at - self.now()) / SEC)
         with trio.move_on_after(min(max(0, time_left), QUIESCENCE_POLL if self.frozen else float("inf"))):
-            events.append(await self.inbox.receive())
+            events.append(await self.event_receiver.receive())
         # After a suspension, expired timers would be handled before answers that have arrived meanwhile. The
         # first poll of the sockets may report nothing then (EINTR), so there has to be another.
         for _ in range(1 if self.now() - self.dispatcher.now < SUSPENDED_AFTER else 3):
             await trio.lowlevel.checkpoint()
-        while len(events) < ROUND:
+        while len(events) < MAX_EVENTS_PER_ITERATION:
             try:
-                events.append(self.inbox.receive_nowait())
+                events.append(self.event_receiver.receive_nowait())
             except trio.WouldBlock:
                 break
         return events
@@ -416,27 +425,27 @@
             self.counters["faults"] += 1
             self.log_line("fault", part="owner", why=described(error), at_line=where(error))
 
-    def carry_out(self):
-        for answer in self.answers:
+    def execute_requests(self):
+        for answer in self.answers_due:
             answer.ready.set()
         for (endpoint, _), sends in self.new_calls.items():
             if sends:
                 self.endpoints.start(self.nursery, endpoint, sends)
-        for ntf_id, number in self.cancels:
+        for ntf_id, number in self.cancels_due:
             self.endpoints.cancel(ntf_id, number)
         for notice in self.take_postable_notices():
             self.notices.add(*notice)
-        for requests in (self.answers, self.new_calls, self.cancels):
+        for requests in (self.answers_due, self.new_calls, self.cancels_due):
             requests.clear()
 
-    def hear_out(self):
+    def process_remaining_events(self):
         """As the process ends, handle the events and answers that have arrived and no iteration has taken.
 
         A push that was answered with 200 would otherwise be given up after the restart, or sent once more."""
         self.dispatcher.now = now = self.now()
         with suppress(trio.WouldBlock):
             while True:
-                function, fields = self.inbox.receive_nowait()
+                function, fields = self.event_receiver.receive_nowait()
                 if function != self.submit:  # its client gets no answer any more, so nothing is pending
                     self.guarded(function, *fields)
         for call in set(self.endpoints.out.values()):
@@ -444,7 +453,7 @@
                 if protocol.says_delivered(call.line.arrived()):
                     send = call.sends[0]
                     outcomes = [(send.id, send.number, "delivered", now - call.began_at, 0, True, None)]
-                    self.guarded(self.finished, call.endpoint, outcomes, now)
+                    self.guarded(self.on_outcomes, call.endpoint, outcomes, now)
 
     def take_postable_notices(self):
         """Take the notices that may be posted now.
@@ -452,7 +461,7 @@
         If a notice were posted before its record is written, a kill could follow, and the next process would
         send again what was reported as rejected. Past its TTL it cannot be sent, so the notice may go."""
         due, self.notices_due = self.notices_due, []
-        if not self.stuck:
+        if not self.ledger_failing:
             return due
         time_left = {
             ntf_id: self.ledger.owed[ntf_id].ttl_at - self.dispatcher.now
@@ -475,12 +484,12 @@
             endpoint for endpoint in self.dispatcher.state.endpoints.values() if endpoint.state != "gone"
         ]
         return {
-            "outstanding": len(self.held),
+            "outstanding": len(self.unfinished),
             "discovered": len(listed),
             "ejected": sum(map(self.dispatcher.is_ejected, listed)),
         }
 
-    def listed(self, news, members):
+    def on_list_news(self, news, members):
         for entry, address in members:
             if self.endpoints.book.get(entry[0], address) != address:
                 self.endpoints.move(entry[0])
@@ -490,50 +499,50 @@
         self.endpoints.recall({call.endpoint for call in self.endpoints.calls() if not self.in_service(call)})
         for gone in self.entries.keys() - self.dispatcher.state.endpoints.keys():
             del self.endpoints.book[gone], self.entries[gone]
-            self.told_waits.pop(gone, None)
+            self.retry_after_until.pop(gone, None)
 
     def submit(self, topic, destination, ttl_at, key, body, answer, turn="", tenant=""):
         ntf_id = answer.ntf_id
-        self.answers.append(answer)
-        if ntf_id in self.taken or ntf_id in self.ledger.owed:
+        self.answers_due.append(answer)
+        if ntf_id in self.known_ids or ntf_id in self.ledger.owed:
             answer.status = 202  # submitted again, on a new connection or by another client
-            if first := self.held.get(ntf_id):
+            if first := self.unfinished.get(ntf_id):
                 first.is_shared = True
             return
-        if self.licence is not None and not self.licensed(self.in_force):
-            answer.again_in = self.licence.again_in()
+        if self.lease is not None and not self.has_lease_for(self.policy_number):
+            answer.retry_after = self.lease.again_in()
             self.counters["unlicensed"] += 1
             self.trace.refused(ntf_id, rules.Reason.UNLICENSED)
-            return self.counters.ended(topic, DECLINED)
+            return self.counters.count_result(topic, DECLINED)
         facts = rules.AcceptFacts(
-            is_writable=not self.stuck,
+            is_writable=not self.ledger_failing,
             is_destination_known=destination
             in self.dispatcher.state.destinations,  # else the list is out of date
-            has_place=len(self.held) < self.dispatcher.state.settings.get("most_held", 1 << 30),
+            has_place=len(self.unfinished) < self.dispatcher.state.settings.get("most_held", 1 << 30),
             has_disk=self.ledger.room(len(body)),
         )
         verdict = rules.may_accept(facts)
-        if self.watch and facts.is_writable and facts.is_destination_known:
-            self.watch.handed_in(topic, destination)
+        if self.observer and facts.is_writable and facts.is_destination_known:
+            self.observer.handed_in(topic, destination)
         if not verdict.is_allowed:
             self.trace.refused(ntf_id, verdict.reason)
             self.counters["turned_away_full"] += verdict.reason in CAPACITY_REASONS
-            return self.counters.ended(topic, DECLINED)
-        self.ledger.take(ntf_id, topic, destination, ttl_at, key, body, under=self.in_force)
+            return self.counters.count_result(topic, DECLINED)
+        self.ledger.take(ntf_id, topic, destination, ttl_at, key, body, under=self.policy_number)
         if turn:
             self.ledger.write("k", ntf_id, turn)
-        self.held[ntf_id] = answer
+        self.unfinished[ntf_id] = answer
         try:
             self.dispatcher.notification(
                 ntf_id, self.topics[topic], destination, ttl_at=ttl_at, key=turn, tenant=tenant
             )
         except Exception:  # the client must not get a 202 for what the module does not have
-            self.end(ntf_id)
+            self.record_end(ntf_id)
             raise
-        self.call_at(ttl_at + LAST_CALL, self.check_after_ttl, ntf_id)
-        self.taken.add(ntf_id)
+        self.call_at(ttl_at + END_GRACE, self.check_after_ttl, ntf_id)
+        self.known_ids.add(ntf_id)
         self.counters["taken_on"] += 1
-        answer.status, answer.took, answer.under = 202, True, self.in_force
+        answer.status, answer.is_accepted, answer.policy_number = 202, True, self.policy_number
         self.trace.event(ntf_id, "taken", topic=topic, destination=destination)
 
     def check_after_ttl(self, ntf_id, had_turn=False):
@@ -541,16 +550,16 @@
 
         After a failure in one of its event functions, the module might never end the notification."""
         if not had_turn:  # if the process was suspended past the TTL, the module has had no turn since
-            return self.call_at(self.dispatcher.now + LAST_CALL // 4, self.check_after_ttl, ntf_id, True)
-        self.taken.discard(ntf_id)
+            return self.call_at(self.dispatcher.now + END_GRACE // 4, self.check_after_ttl, ntf_id, True)
+        self.known_ids.discard(ntf_id)
         self.ledger.forget(ntf_id)
-        if ntf_id in self.held:
+        if ntf_id in self.unfinished:
             self.log_line("fault", "a notification was not ended in time", part="owner", notification=ntf_id)
             self.counters["faults"] += 1
             self.dispatcher.withdraw(ntf_id)
             self.expired(ntf_id)
 
-    def unheard(self, answer):
+    def undo_unheard(self, answer):
         """The client left before its 202: nothing is pending, unless another got a 202 for the same id."""
         if answer.is_shared:
             return
@@ -558,42 +567,42 @@
         self.counters["unheard"] += 1
 
     def undo_acceptance(self, ntf_id):
-        self.taken.discard(ntf_id)
+        self.known_ids.discard(ntf_id)
         self.dispatcher.withdraw(ntf_id)
-        self.end(ntf_id, "x")
+        self.record_end(ntf_id, "x")
 
-    def finished(self, endpoint, outcomes, heard):
+    def on_outcomes(self, endpoint, outcomes, heard):
         """`heard`: when the answer came. This iteration may run long after, and a delivery in time would look
         late."""
         for ntf_id, number, ending, latency, wait, over, report in outcomes:
             if (
-                self.watch
+                self.observer
                 and ending == "delivered"
                 and (ntf := self.dispatcher.state.notifications.get(ntf_id))
             ):
-                in_time = over and ntf_id in self.held and heard < ntf.ttl_at
-                self.watch.answered(
+                in_time = over and ntf_id in self.unfinished and heard < ntf.ttl_at
+                self.observer.answered(
                     ntf, self.dispatcher.state.endpoints.get(endpoint), latency, in_time, heard
                 )
-            if over and ntf_id in self.held:
+            if over and ntf_id in self.unfinished:
                 owed = self.ledger.owed[ntf_id]
                 in_time = ending == "delivered" and heard < owed.ttl_at  # else withdrawn, or too late
-                self.counters.ended(owed.topic, SUCCEEDED if in_time else ABORTED)
+                self.counters.count_result(owed.topic, SUCCEEDED if in_time else ABORTED)
                 if heard >= owed.ttl_at - protocol.TIME_IS_UP:
                     # So close to the TTL, the answer may come too late to be the end for the client. A
                     # superfluous notice does no harm, so one is posted.
-                    self.held.pop(ntf_id)
+                    self.unfinished.pop(ntf_id)
                     self.queue_notice(ntf_id, protocol.GIVEN_UP, 0)
                 else:
-                    self.end(ntf_id)
+                    self.record_end(ntf_id)
             elif over:
-                self.end(ntf_id)
+                self.record_end(ntf_id)
             elif ending in NOT_EXECUTED:
                 self.record_never_ran(ntf_id, number, ending)
             self.trace.event(ntf_id, ending, number=number, endpoint=endpoint, over=over, wait_ms=wait // MS)
             if wait and endpoint in self.dispatcher.state.endpoints:
                 same_route = self.endpoints_on_route(endpoint)
-                self.told_waits.update(dict.fromkeys(same_route, heard + wait))
+                self.retry_after_until.update(dict.fromkeys(same_route, heard + wait))
                 self.endpoints.recall(same_route)
             self.dispatcher.outcome(
                 ntf_id, number, ending, latency=latency, wait=wait, over=over, report=report
@@ -614,11 +623,11 @@
         route = self.dispatcher.state.endpoints[endpoint].route
         return {number for number, other in self.dispatcher.state.endpoints.items() if other.route is route}
 
-    def end(self, ntf_id, letter="e"):
-        self.held.pop(ntf_id, None)
+    def record_end(self, ntf_id, letter="e"):
+        self.unfinished.pop(ntf_id, None)
         if ntf_id in self.ledger.owed:
             self.ledger.write(letter, ntf_id)
-            if ntf_id not in self.taken:
+            if ntf_id not in self.known_ids:
                 self.ledger.forget(ntf_id)  # its TTL had passed before it ended
 
     # ---- what the module asks for (interface.Host)
@@ -639,7 +648,7 @@
         self.new_calls[endpoint_id, batch].append(send)
 
     def cancel(self, ntf_id, number):
-        self.cancels.append((ntf_id, number))
+        self.cancels_due.append((ntf_id, number))
 
     def throttled(self, ntf_id, again_in):
         self.end_undelivered(ntf_id, protocol.HANDED_BACK, 503, again_in)
@@ -649,16 +658,16 @@
 
     def end_undelivered(self, ntf_id, outcome, status, again_in):
         """Report an end without delivery: in the client's answer if it is still to come, else by a notice."""
-        if ntf_id not in self.held:
+        if ntf_id not in self.unfinished:
             return self.trace.violation(rules.Rule.ANSWERED_TWICE, ntf_id, outcome=outcome)
-        answer = self.held.pop(ntf_id)
+        answer = self.unfinished.pop(ntf_id)
         result = DECLINED if outcome == protocol.HANDED_BACK else ABORTED
-        self.counters.ended(self.ledger.owed[ntf_id].topic, result)
-        if answer in self.answers:
-            for other in [one for one in self.answers if one.ntf_id == ntf_id]:
+        self.counters.count_result(self.ledger.owed[ntf_id].topic, result)
+        if answer in self.answers_due:
+            for other in [one for one in self.answers_due if one.ntf_id == ntf_id]:
                 other.status = status
-                other.again_in = again_in
-            self.taken.discard(ntf_id)
+                other.retry_after = again_in
+            self.known_ids.discard(ntf_id)
             return self.ledger.write("x", ntf_id)
         self.queue_notice(ntf_id, outcome, again_in)
 
--- a/juniperlanding/net/succession.py
+++ b/juniperlanding/net/succession.py
@@ -70,33 +70,41 @@
         pending: then the client connections are handed over all the same, and the decision module of the new
         process starts from the ledger."""
         try:
-            return cls.collect(node, carry.export_state(node.owner.dispatcher.state, node.owner.terms))
+            return cls.collect(
+                node,
+                carry.export_state(
+                    node.decision_loop.dispatcher.state, node.decision_loop.topic_types_by_policy
+                ),
+            )
         except Exception as error:
             node.log("fault", part="upgrade", why=described(error), at_line=where(error))
             return cls.collect(node, None)
 
     @classmethod
     def collect(cls, node, module_state):
-        owner, now = node.owner, trio.current_time()
+        decision_loop, now = node.decision_loop, trio.current_time()
         idle = [
             (endpoint, line)
-            for endpoint, lines in owner.endpoints.idle.items()
+            for endpoint, lines in decision_loop.endpoints.idle.items()
             for line in lines
             if line.quiet()
         ]
-        calls, clients = owner.endpoints.carried, node.clients.carried
+        calls, clients = decision_loop.endpoints.carried, node.clients.carried
         state = {
             "form": FORM,
             "clock": astuple(stamp) if (stamp := node.world.clock.stamp()) else None,
             "version": module_state and carry.VERSION,
             "settings": settings_checksum(node.config.settings),
             "module": module_state,
-            "entries": [[*entry, *owner.endpoints.book[number]] for number, entry in owner.entries.items()],
+            "entries": [
+                [*entry, *decision_loop.endpoints.book[number]]
+                for number, entry in decision_loop.entries.items()
+            ],
             # No revision while the full endpoint list has yet to arrive: the number is of the previous
             # discovery address.
-            "revision": None if owner.discovery.whole else owner.discovery.revision,
-            "discovery": owner.discovery.address,
-            "following": owner.discovery.on,
+            "revision": None if decision_loop.discovery.whole else decision_loop.discovery.revision,
+            "discovery": decision_loop.discovery.address,
+            "following": decision_loop.discovery.on,
             "clients": [
                 [received_bytes(line), line.until - now if line.until < float("inf") else None]
                 for line in clients
--- a/juniperlanding/sites/part.py
+++ b/juniperlanding/sites/part.py
@@ -1,6 +1,6 @@
 """The I/O half: counts what this dispatcher does, tells it with the fleet's probes, and projects.
 
-A part of one node, which it reads as a plain value; it asks the owner's queue for nothing."""
+A part of one node, which it reads as a plain value; it asks the decision loop's queue for nothing."""
 
 import msgspec
 import trio
@@ -38,9 +38,9 @@
 
     @property
     def topics(self):
-        return self.node.owner.dispatcher.state.settings["topic_types"]
+        return self.node.decision_loop.dispatcher.state.settings["topic_types"]
 
-    # ---- what the owner says, in its rounds
+    # ---- what the decision loop says, in its iterations
 
     def handed_in(self, topic, destination):
         self.guarded(self.seen.handed_in, topic, destination, self.now())
@@ -53,7 +53,7 @@
         self.seen.answered(ntf, site, site != self.agent.told.site, latency, in_time, self.now(), heard)
 
     def guarded(self, what, *fields):
-        """Threat: a fault in counting, and the owner never hears the outcome that was counted."""
+        """Threat: a fault in counting, and the decision loop never hears the outcome that was counted."""
         try:
             what(*fields)
         except Exception as error:
@@ -67,7 +67,7 @@
     # ---- the part
 
     def built(self, node):
-        node.owner.watch = self
+        node.decision_loop.observer = self
 
     def given(self):
         """What earlier projections missed, so that a replacement forgets nothing."""
@@ -100,11 +100,11 @@
             await trio.sleep(max(EVERY, min(LONGEST, self.cost * LEISURE / SEC)))
 
     async def look(self):
-        owner, view = self.node.owner, self.agent.view
+        decision_loop, view = self.node.decision_loop, self.agent.view
         if not view:
             return
         now = self.now()
-        self.mine = self.figures(owner.dispatcher, now)
+        self.mine = self.figures(decision_loop.dispatcher, now)
         view.figures = words.encoded(self.mine)
         members, self.named = self.members(now), self.prices()
         names = sorted({member.site for member in members if member.site})
@@ -132,7 +132,7 @@
 
     def price(self, source, target):
         return self.named.get(
-            (source, target), self.node.owner.dispatcher.state.settings.get("crossing_price")
+            (source, target), self.node.decision_loop.dispatcher.state.settings.get("crossing_price")
         )
 
     def members(self, now):
@@ -159,11 +159,11 @@
     # ---- what is told
 
     def figures(self, at, now):
-        """The plain value of this dispatcher, from its owner's records as they are at this moment."""
+        """The plain value of this dispatcher, from its decision module's records at this moment."""
         state, ledger, counters = at.state, self.node.ledger, self.node.counters
         for topic in self.topics:
             name = topic.get("name")
-            ended = counters.unserved(name)
+            ended = counters.not_delivered_in_time(name)
             self.seen.refused(name, ended - self.ended.get(name, ended), now)
             self.ended[name] = ended
         self.seen.forget(now)
@@ -181,7 +181,11 @@
             tuple(self.seen.kind(topic.get("name"), now) for topic in self.topics),
             tuple(places[:256]),
             min(state.settings.get("slots", 1 << 20), 1 << 20),
-            max(0, min(state.settings.get("most_held", 1 << 20), 1 << 30) - len(self.node.owner.held)),
+            max(
+                0,
+                min(state.settings.get("most_held", 1 << 20), 1 << 30)
+                - len(self.node.decision_loop.unfinished),
+            ),
             max(0, ledger.most_owed - ledger.owed_size) // each,
             near=near is not None,
         )
--- a/juniperlanding/soak/defects.py
+++ b/juniperlanding/soak/defects.py
@@ -43,26 +43,26 @@
 @defect
 def drains_not_heard():
     """News of a drain calls nothing back, is not told to the module, and the last look lets all pass."""
-    listed = owner.Owner.listed
+    listed = owner.DecisionLoop.on_list_news
 
     def without_drains(self, news, members):
         ready = [((*entry[:-1], "ready"), address) for entry, address in members]
         return listed(self, news, ready)
 
-    owner.Owner.listed = without_drains
+    owner.DecisionLoop.on_list_news = without_drains
     rules.may_send = lambda facts, now: rules.Verdict(rules.Reason.ALLOWED)
 
 
 @defect
 def once_only_again():
     """After a restart a once-only message that may have run counts as untried."""
-    restore = owner.Owner.restore
+    restore = owner.DecisionLoop.restore
 
     def untried(self, owed):
         owed.ran, owed.left = {}, False
         return restore(self, owed)
 
-    owner.Owner.restore = untried
+    owner.DecisionLoop.restore = untried
 
 
 @defect
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -233,10 +233,10 @@
     async def scene(site):
         node = await site.start()
         await site.submit("a0")
-        assert abs(node.owner.dispatcher.wall_clock_ahead) < SEC
+        assert abs(node.decision_loop.dispatcher.wall_clock_ahead) < SEC
         wall_clock.ahead += HOUR
         await site.submit("a1")
-        assert abs(node.owner.dispatcher.wall_clock_ahead - HOUR) < SEC
+        assert abs(node.decision_loop.dispatcher.wall_clock_ahead - HOUR) < SEC
 
     site.run(scene)
 
@@ -265,6 +265,6 @@
         wall_clock.step(site, HOUR)
         new = await replaced(site)
         assert new.world.clock is not old.world.clock
-        assert abs(new.owner.now() - old.owner.now()) < SEC
+        assert abs(new.decision_loop.now() - old.decision_loop.now()) < SEC
 
     site.run(scene)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -321,7 +321,7 @@
         node = await site.start()
         assert await site.submit("a", topic, ttl=9000) == 202
         await site.until(lambda: site.peer.calls)
-        (call,) = set(node.owner.endpoints.out.values())
+        (call,) = set(node.decision_loop.endpoints.out.values())
         await site.until(lambda: call.written)
         site.peer.answer = http(200)
         act(site, call)
@@ -363,10 +363,10 @@
         node = await site.start()
         assert await site.submit("a", topic, ttl=9000) == 202
         await site.until(lambda: site.peer.calls)
-        (call,) = set(node.owner.endpoints.out.values())
+        (call,) = set(node.decision_loop.endpoints.out.values())
         await site.until(lambda: call.written)
-        await node.owner.tell(node.owner.park)
-        await node.owner.parked.wait()
+        await node.decision_loop.enqueue(node.decision_loop.stop_loop)
+        await node.decision_loop.loop_stopped.wait()
         await trio.testing.wait_all_tasks_blocked()
         if data:
             site.peer.say(call, data)
@@ -381,7 +381,7 @@
         assert list(owed(site)) == [] if delivered else ["a"]
         site.peer.answer = http(200)
         node = await site.start()
-        await site.until(lambda: node.owner.ready and not node.ledger.owed)
+        await site.until(lambda: node.decision_loop.ready and not node.ledger.owed)
         given_up = not delivered and topic == "order"
         assert len(site.peer.got) == (1 if delivered or given_up else 2)
         assert {
@@ -414,7 +414,7 @@
         assert not got(site.far) and list(owed(site)) == ["a"] and untried(site, "a")
         site.world = world
         node = await site.start()
-        await site.until(lambda: node.owner.ready and not node.ledger.owed)
+        await site.until(lambda: node.decision_loop.ready and not node.ledger.owed)
         assert len(got(site.far)) == 1 and not noticed(site, "a")
 
     site.run(scene)
@@ -437,7 +437,7 @@
     """Simulates SIGKILL: what the tasks do as they are cancelled reaches neither the ledger nor a socket."""
     path = site.folder / "state" / "ledger"
     content = path.read_bytes()
-    for call in set(site.node.owner.endpoints.out.values()):
+    for call in set(site.node.decision_loop.endpoints.out.values()):
         if call.line:
             call.line.sock.abort()
     site.kill()
@@ -447,7 +447,7 @@
 
 async def next_process(site):
     node = await site.start()
-    await site.until(lambda: node.owner.ready and not node.ledger.owed)
+    await site.until(lambda: node.decision_loop.ready and not node.ledger.owed)
     return node
 
 
@@ -455,7 +455,7 @@
 def test_a_call_that_waits_for_a_place_as_the_process_is_killed_is_made_by_the_next(site, topic):
     async def scene(site):
         node = await site.start()
-        calls = node.owner.endpoints
+        calls = node.decision_loop.endpoints
         calls.connection_limit = trio.Semaphore(0)
         assert await site.submit("a", topic, ttl=9000) == 202
         await site.until(lambda: calls.out)
@@ -477,7 +477,7 @@
     def waiting(line):
         if is_killed.is_set():
             return original(line)
-        for call in site.node.owner.endpoints.out.values():
+        for call in site.node.decision_loop.endpoints.out.values():
             if call.line is line and not call.written and call.sends[0].id == "a":
                 site.content = (site.folder / "state" / "ledger").read_bytes()
                 line.sock.abort()
@@ -490,7 +490,7 @@
         if kept:
             assert await site.submit("z", "news") == 202
             await site.until(lambda: not site.node.ledger.owed)
-            assert site.node.owner.endpoints.idle["s-1"]
+            assert site.node.decision_loop.endpoints.idle["s-1"]
         monkeypatch.setattr(Line, "waiting", waiting)
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError, TypeError):
             await site.submit("a", topic, ttl=9000)
@@ -564,14 +564,14 @@
         site.world.files.error = errno.EIO
         site.world.network.go.set()
         await site.until(lambda: node.counters["pushes_moot"])
-        assert not got(site.far) and node.owner.stuck and untried(site, "a")
+        assert not got(site.far) and node.decision_loop.ledger_failing and untried(site, "a")
         assert await site.submit("b", topic, ttl=9000) == 503
         if then == "killed":
             await killed(site)
             site.world = world
             node = await site.start()
         site.world.files.error = 0
-        await site.until(lambda: node.owner.ready and not node.ledger.owed)
+        await site.until(lambda: node.decision_loop.ready and not node.ledger.owed)
         assert len(got(site.far)) == 1 and not noticed(site, "a")
         assert node.counters["pushes_delivered"] == 1 and not node.counters["faults"]
 
@@ -588,15 +588,17 @@
         node = await site.start()
         assert await site.submit("a", topic, ttl=9000) == 202
         await site.until(lambda: site.world.network.began)
-        calls = node.owner.endpoints
+        calls = node.decision_loop.endpoints
 
         def off():
             if how == "drain":
                 found = protocol.entries([member(1, site.far.address, "terminating")], ["m1"], ["a"])
-                node.owner.tell_now(node.owner.listed, "changes", found)
+                node.decision_loop.try_enqueue(node.decision_loop.on_list_news, "changes", found)
             else:
                 calls.recall({"s-1"})
-                node.owner.dispatcher.state.endpoints["s-1"].route.wait_until = node.owner.now() + 60 * SEC
+                node.decision_loop.dispatcher.state.endpoints["s-1"].route.wait_until = (
+                    node.decision_loop.now() + 60 * SEC
+                )
 
         for act in (site.world.network.go.set, off) if first == "up" else (off, site.world.network.go.set):
             act()
@@ -642,7 +644,7 @@
         assert await site.submit("a", topic, ttl=900) == 202
         await site.until(lambda: noticed(site, "a"))
         site.world.network.go.set()
-        await site.until(lambda: not node.ledger.owed and node.owner.endpoints.settled())
+        await site.until(lambda: not node.ledger.owed and node.decision_loop.endpoints.settled())
         assert not got(site.far) and noticed(site, "a") == {"handed_back"}
         assert b'["t","a"' in b"".join(written) and b'["p",' not in b"".join(written)
 
@@ -669,9 +671,9 @@
             if not process:
                 for name in "xabc":
                     assert await site.submit(name, "order", ttl=9000) == 202
-            await site.until(lambda: len(site.node.owner.endpoints.out) == 4)
+            await site.until(lambda: len(site.node.decision_loop.endpoints.out) == 4)
             if process:  # all are restored in one iteration, and untried: they share a call
-                assert len(set(site.node.owner.endpoints.out.values())) < 4
+                assert len(set(site.node.decision_loop.endpoints.out.values())) < 4
             await killed(site)
             assert all(untried(site, name) for name in "xabc")
         site.world = world
@@ -686,7 +688,7 @@
 
 @pytest.mark.parametrize("how", ["stopped", "ended at once"])
 def test_a_process_ends_with_more_calls_out_than_its_queue_holds(site, monkeypatch, how):
-    monkeypatch.setattr(owners, "ROUND", 1)  # a queue of four
+    monkeypatch.setattr(owners, "MAX_EVENTS_PER_ITERATION", 1)  # a queue of four
     site.told = {"limits": site.limits | {"sockets": 256}}
 
     async def scene(site):
@@ -694,33 +696,33 @@
         for number in range(7):
             assert await site.submit(f"a{number}", ttl=9000) == 202
         await site.until(lambda: len(got(site.far)) == 7)
-        owner = node.owner
+        decision_loop = node.decision_loop
         if how == "stopped":
-            await owner.tell(owner.park)
-            await owner.parked.wait()
+            await decision_loop.enqueue(decision_loop.stop_loop)
+            await decision_loop.loop_stopped.wait()
             assert node.close()
         site.scope.cancel()
         await trio.testing.wait_all_tasks_blocked()
-        stuck = owner.queue.statistics().tasks_waiting_send
-        while owner.queue.statistics().tasks_waiting_send:  # or this test would not end either
-            owner.inbox.receive_nowait()
-        assert not stuck and not owner.endpoints.out
+        stuck = decision_loop.event_sender.statistics().tasks_waiting_send
+        while decision_loop.event_sender.statistics().tasks_waiting_send:  # or this test would not end either
+            decision_loop.event_receiver.receive_nowait()
+        assert not stuck and not decision_loop.endpoints.out
         node.release()
 
     site.run(scene, lambda *message: None)
 
 
 def test_what_waits_to_be_told_as_the_owner_is_parked_still_counts(site, monkeypatch):
-    monkeypatch.setattr(owners, "ROUND", 1)
+    monkeypatch.setattr(owners, "MAX_EVENTS_PER_ITERATION", 1)
 
     async def scene(site):
         node = await site.start()
         for number in range(7):
             assert await site.submit(f"a{number}", "order", ttl=9000) == 202
         await site.until(lambda: len(got(site.far)) == 7)
-        queue, owner = node.owner.queue, node.owner
-        await owner.tell(owner.park)
-        await owner.parked.wait()
+        queue, decision_loop = node.decision_loop.event_sender, node.decision_loop
+        await decision_loop.enqueue(decision_loop.stop_loop)
+        await decision_loop.loop_stopped.wait()
         site.far.go.set()
         await site.until(lambda: queue.statistics().tasks_waiting_send == 3)
         assert node.close()
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -51,7 +51,7 @@
 def test_each_line_gets_one_answer(site, line, answer):
     async def scene(site):
         node = await site.start()
-        await site.until(lambda: node.owner.ready)
+        await site.until(lambda: node.decision_loop.ready)
         lines = await call(site, line)
         assert len(lines) == 1 and lines[0].startswith(answer)
         await site.until(lambda: not node.door.open_calls)
@@ -62,10 +62,10 @@
 def test_ready_is_no_before_it_takes_clients_and_while_it_drains(site):
     async def scene(site):
         node = await site.start()
-        await site.until(lambda: node.owner.ready)
-        node.owner.ready = False
+        await site.until(lambda: node.decision_loop.ready)
+        node.decision_loop.ready = False
         assert await call(site, b"READY\n") == ["NAK starting"]
-        node.owner.ready = True
+        node.decision_loop.ready = True
         node.clients.drain()
         assert await call(site, b"READY\n") == ["NAK draining"]
 
@@ -105,7 +105,7 @@
 
     async def scene(site):
         node = await site.start()
-        await site.until(lambda: node.owner.ready)
+        await site.until(lambda: node.decision_loop.ready)
 
         def fail():
             raise OSError("no space left")
@@ -116,7 +116,7 @@
             await stream.send_all(b"POST /api HTTP/1.1\r\nHo")
         assert await site.submit("a1") == 503
         # This task does not yield, so the decision loop does not run and its queue fills up.
-        while node.owner.tell_now(node.owner.unheard, Answer("none")):
+        while node.decision_loop.try_enqueue(node.decision_loop.undo_unheard, Answer("none")):
             pass
         with trio.fail_after(1):
             assert (await statistics(site))["results.news.declined"] == (1, "c")
@@ -140,7 +140,7 @@
             await site.submit(number, topic, ttl=ttl, dest=8 if number == "h1" else 7)
         assert await site.submit("d1") == 202  # a repeat: not counted again
         assert await site.submit("x1", "pay", dest=70000) == 503
-        await site.until(lambda: not node.owner.held)
+        await site.until(lambda: not node.decision_loop.unfinished)
         measured = await statistics(site)
         assert {name.removeprefix("results."): value for name, (value, _) in measured.items()} == {
             "news.succeeded": 1,
@@ -171,7 +171,7 @@
         site.kill()
         site.far.answer = lambda *message: http(200)
         node = await site.start()
-        await site.until(lambda: node.owner.ready and not node.owner.held)
+        await site.until(lambda: node.decision_loop.ready and not node.decision_loop.unfinished)
         measured = await statistics(site)
         assert measured["results.news.succeeded"] == measured["results.order.aborted"] == (1, "c")
 
@@ -181,8 +181,8 @@
 def test_an_ejected_endpoint_is_counted_as_ejected(site):
     async def scene(site):
         node = await site.start()
-        await site.until(lambda: node.owner.ready)
-        node.owner.dispatcher.state.endpoints["s-1"].ejected = True
+        await site.until(lambda: node.decision_loop.ready)
+        node.decision_loop.dispatcher.state.endpoints["s-1"].ejected = True
         assert (await statistics(site))["ejected"] == (1, "g")
 
     site.run(scene)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -325,17 +325,17 @@
             worlds.append(self)
             super().build()
 
-    class Looked(owner.Owner):
-        def begin(self, *told):
-            super().begin(*told)
+    class Looked(owner.DecisionLoop):
+        def start_module(self, *told):
+            super().start_module(*told)
             watch, now = worlds[0].watch, elapsed()
-            one = next(one for one in worlds[0].dispatchers if one.node and one.node.owner is self)
+            one = next(one for one in worlds[0].dispatchers if one.node and one.node.decision_loop is self)
             owing.append([i for i, r in watch.open.items() if watch.owners[i] is one and now > r.due])
             assert one.ready and not (one.starts > 1 and one.ready_at >= now)
             watch.probe([])  # before anything could tell that it is ready
 
     monkeypatch.setattr(world, "World", Kept)
-    monkeypatch.setattr(node, "Owner", Looked)
+    monkeypatch.setattr(node, "DecisionLoop", Looked)
     result = play(fault("cut", at=0.5, lasts=5), fault("kill", at=5))
     assert result.restarts == 3 and len(owing) == 6 and sum(map(len, owing)) > 3
     assert result.breach is None
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -31,10 +31,10 @@
     def __init__(self, site, old):
         self.site = site
         self.old = old
-        self.freeze = old.owner.freeze
+        self.freeze = old.decision_loop.freeze
         self.requests = []  # the arguments of calls of `freeze`
         self.new = None
-        old.owner.freeze = self.requests.append
+        old.decision_loop.freeze = self.requests.append
 
     async def request(self):
         self.site.nursery.start_soon(self.start_new_process)
@@ -42,7 +42,7 @@
 
     def proceed(self):
         self.freeze(self.requests.pop())
-        self.old.owner.tell_now(list)  # any event starts the next iteration
+        self.old.decision_loop.try_enqueue(list)  # any event starts the next iteration
 
     async def start_new_process(self):
         self.new = await replace(self.site)
@@ -67,14 +67,14 @@
 def test_a_client_that_is_answered_as_all_is_frozen_may_rest_after_it(site):
     async def scene(site):
         old, stream = await first(site), await site.client()
-        hand_over, submit = HandOver(site, old), old.owner.submit
+        hand_over, submit = HandOver(site, old), old.decision_loop.submit
 
         def submit_and_freeze(*fields):
             submit(*fields)
             hand_over.proceed()
 
         await hand_over.request()
-        old.owner.submit = submit_and_freeze
+        old.decision_loop.submit = submit_and_freeze
         assert await site.submit("a1", stream=stream) == 202
         new = await hand_over.completed()
         await site.until(lambda: new.clients.waiting)
@@ -129,21 +129,21 @@
 
 
 async def start_with_late_first_iteration(site, unless):
-    """Start a new process whose owner has its first iteration after 0.2 s, or as soon as `unless` holds, so
-    that all other tasks have run before."""
+    """Start a new process whose decision loop has its first iteration after 0.2 s, or as soon as `unless`
+    holds, so that all other tasks have run before."""
     config = site.config()
 
     def make(offer=None):
         new = node(site, config, offer)
-        receive_events = new.owner.receive_events
+        receive_events = new.decision_loop.receive_events
 
         async def receive_late():
-            new.owner.receive_events = receive_events
+            new.decision_loop.receive_events = receive_events
             with trio.move_on_after(0.2):
                 await site.until(unless)
             return await receive_events()
 
-        new.owner.receive_events = receive_late
+        new.decision_loop.receive_events = receive_late
         return new
 
     return await start(site, await succession.begin(make, config, site.world))
@@ -158,24 +158,24 @@
 
         def make(offer=None):
             new = node(site, config, offer)
-            begin, give = new.owner.begin, new.succession.give
+            begin, give = new.decision_loop.start_module, new.succession.give
 
             def begin_and_freeze(*fields):
                 begin(*fields)
-                new.owner.begin = begin
-                new.owner.freeze(0.5)
+                new.decision_loop.start_module = begin
+                new.decision_loop.freeze(0.5)
 
             async def give_to_nobody(offer):
                 new.succession.give = give
                 return False
 
-            new.owner.begin, new.succession.give = begin_and_freeze, give_to_nobody
+            new.decision_loop.start_module, new.succession.give = begin_and_freeze, give_to_nobody
             return new
 
         await site.until(lambda: any(line.raw for line in site.node.clients.waiting))
         new = await succession.begin(make, config, site.world)
         site.nursery.start_soon(new.run)
-        await site.until(lambda: new.clients.waiting and not new.owner.frozen)
+        await site.until(lambda: new.clients.waiting and not new.decision_loop.frozen)
         assert (await site.ask(REQUEST[60:], stream))[0] == 202
 
     site.run(scene)
@@ -197,7 +197,7 @@
         site.far.address = listeners[0].socket.getsockname()[:2]
         old = await first(site)
         assert await site.submit("a1", "order") == 202
-        in_flight = old.owner.endpoints.out
+        in_flight = old.decision_loop.endpoints.out
         await site.until(lambda: any(call.line and call.line.head for call in in_flight.values()))
         new = await replace(site)
         send_rest.set()
@@ -221,7 +221,7 @@
     async def scene(site):
         old = await first(site)
         assert await site.submit("a1", "order") == 202
-        await site.until(lambda: old.owner.endpoints.out)
+        await site.until(lambda: old.decision_loop.endpoints.out)
         new = await replace(site)
         may_connect.set()
         await site.until(lambda: not new.ledger.owed)
--- a/tests/test_endings_drain.py
+++ b/tests/test_endings_drain.py
@@ -278,7 +278,7 @@
 
     async def scene(site):
         node = await site.start()
-        await site.until(lambda: node.owner.ready)
+        await site.until(lambda: node.decision_loop.ready)
         limit, refuse, close = node.clients.connection_limit, node.clients.refuse, node.clients.close
         acquire = limit.acquire
         acquired, finished = [], []
@@ -343,18 +343,18 @@
 
     async def scene(site):
         node = await site.start()
-        await site.until(lambda: node.owner.ready)
-        refuse, withdraw = node.clients.refuse, node.owner.endpoints.withdraw
+        await site.until(lambda: node.decision_loop.ready)
+        refuse, withdraw = node.clients.refuse, node.decision_loop.endpoints.withdraw
 
         async def record_withdraw():
             await withdraw()
-            withdrawn.append(node.owner.parked.is_set())
+            withdrawn.append(node.decision_loop.loop_stopped.is_set())
 
         def refuse_and_connect():
             refuse()
             connect()
 
-        node.clients.refuse, node.owner.endpoints.withdraw = refuse_and_connect, record_withdraw
+        node.clients.refuse, node.decision_loop.endpoints.withdraw = refuse_and_connect, record_withdraw
         assert await stop(site)
         assert withdrawn == [True] and accepted
         if how == "come without end":
@@ -378,10 +378,10 @@
             outcomes.append(fields)
 
         def queue_outcome_and_close():
-            node.owner.queue.send_nowait((node.owner.finished, outcomes[0]))
+            node.decision_loop.event_sender.send_nowait((node.decision_loop.on_outcomes, outcomes[0]))
             return close()
 
-        node.owner.endpoints.told, node.close = keep_outcome, queue_outcome_and_close
+        node.decision_loop.endpoints.told, node.close = keep_outcome, queue_outcome_and_close
         assert await site.submit("a1", "order") == 202
         await site.until(lambda: outcomes)
         assert await stop(site)
@@ -405,7 +405,7 @@
         node = await site.start()
         assert await site.submit("a1", "order") == 202
         await site.until(lambda: streams)
-        (call,) = set(node.owner.endpoints.out.values())
+        (call,) = set(node.decision_loop.endpoints.out.values())
         await site.until(lambda: call.written and call.line.head == before)
         streams[0].socket._sock.send(ANSWER[len(before) : 50])
         while call.line.sock.peek() is None:
@@ -454,7 +454,7 @@
 def test_a_kill_between_the_ledger_and_the_yes_loses_nothing_and_invents_nothing(site, step):
     async def scene(site):
         node, stream = await site.start(), await site.client()
-        await site.until(lambda: node.owner.ready)
+        await site.until(lambda: node.decision_loop.ready)
         write, killed = node.ledger.files.write, []
 
         def write_and_kill(file, data):
@@ -482,7 +482,7 @@
         site.platform.notice_status = 500
         node = await site.start()
         assert await site.submit("a1", dest=8, ttl=100) == 202
-        await site.until(lambda: node.owner.notices.due)
+        await site.until(lambda: node.decision_loop.notices.due)
         assert node.close()
         await end_process(site)
         assert owed(site)["a1"].notice
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -205,7 +205,7 @@
         assert await site.submit("a1") == 503
         await trio.sleep(0.2)
         node.ledger.added = append
-        await site.until(lambda: not node.owner.stuck)
+        await site.until(lambda: not node.decision_loop.ledger_failing)
         assert await site.submit("a2") == 202
         texts = [text for event, text in site.lines if event == "ledger"]
         assert (
--- a/tests/test_gone_endpoint.py
+++ b/tests/test_gone_endpoint.py
@@ -15,8 +15,8 @@
         node = await site.start()
         assert await site.submit("a0", ttl=700) == 202
         await site.until(lambda: held.began)
-        endpoint = node.owner.dispatcher.state.endpoints["s-1"]
-        await node.owner.tell(node.owner.listed, "whole", [])
+        endpoint = node.decision_loop.dispatcher.state.endpoints["s-1"]
+        await node.decision_loop.enqueue(node.decision_loop.on_list_news, "whole", [])
         await site.until(lambda: endpoint.state == "gone")
         held.go.set()
         await site.until(lambda: not node.ledger.owed)
--- a/tests/test_held.py
+++ b/tests/test_held.py
@@ -48,13 +48,13 @@
 def test_a_notice_that_was_written_as_it_stood_still_is_posted_once_it_goes_on(site, monkeypatch):
     async def scene(site):
         node = await site.start()
-        add = node.owner.notices.add
+        add = node.decision_loop.notices.add
 
         def suspend_and_add(*notice):
             time.sleep(0.4)
             add(*notice)
 
-        monkeypatch.setattr(node.owner.notices, "add", suspend_and_add)
+        monkeypatch.setattr(node.decision_loop.notices, "add", suspend_and_add)
         assert await site.submit("a0", dest=8, ttl=300) == 202
         await site.until(lambda: not node.ledger.owed)
         assert [notice["message"] for notice in site.platform.notices] == ["a0"]
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -100,15 +100,17 @@
 
 async def wait_until_known(node, state="draining", number="s-1"):
     """Wait until the decision module has an endpoint in a state; the time at which it has."""
-    original = type(node.owner.dispatcher).update_endpoints
+    original = type(node.decision_loop.dispatcher).update_endpoints
     news = trio.Event()
 
     def listed(*changes):
-        original(node.owner.dispatcher, *changes)
+        original(node.decision_loop.dispatcher, *changes)
         news.set()
 
-    node.owner.dispatcher.update_endpoints = listed
-    while (known := node.owner.dispatcher.state.endpoints.get(number)) is None or known.state != state:
+    node.decision_loop.dispatcher.update_endpoints = listed
+    while (
+        known := node.decision_loop.dispatcher.state.endpoints.get(number)
+    ) is None or known.state != state:
         await news.wait()
         news = trio.Event()
     return trio.current_time()
@@ -234,7 +236,7 @@
     async def scene(site):
         set_up_failures(site, trouble, 1 << 30)
         node = await site.start()
-        while node.owner.dispatcher.state.list_failures < MANY_FAILURES:
+        while node.decision_loop.dispatcher.state.list_failures < MANY_FAILURES:
             await trio.sleep(0.1)
         site.platform = site.network.agent = await Agent().open(site.nursery)
         set_up_failures(site, trouble, 1)
@@ -251,7 +253,7 @@
         set_up_failures(site, "hang", 1 << 30)
         node = await site.start()
         await trio.sleep(0.5)  # the connection hangs for a second
-        assert not node.owner.dispatcher.state.list_failures
+        assert not node.decision_loop.dispatcher.state.list_failures
         site.platform = await Agent().open(site.nursery)  # the hook only affects the old address
         site.platform.answer = lambda *message: http(
             200, listing([member(1, site.far.address, "terminating")], revision=2)
@@ -352,10 +354,10 @@
         site.platform.answer = lambda *message: answer
         node = await site.start()
         await wait_until_known(node, "ready")
-        first = node.owner.dispatcher.state.endpoints["s-1"]
+        first = node.decision_loop.dispatcher.state.endpoints["s-1"]
         known.set()
         await wait_until_known(node, "ready", "s-2")
         assert first.state == state
-        assert state == "gone" or node.owner.endpoints.book["s-1"] == site.far.address
+        assert state == "gone" or node.decision_loop.endpoints.book["s-1"] == site.far.address
 
     play(site, scene)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -462,19 +462,19 @@
 def test_news_of_a_drain_calls_back_what_still_connects(site, phase):
     async def scene(site):
         node = await site.start()
-        await site.until(lambda: node.owner.ready)
+        await site.until(lambda: node.decision_loop.ready)
         with socket.socket() as listener:  # connections to it hang, since its backlog of one is full
             listener.bind(("127.0.0.1", 0))
             listener.listen(0)
             queued = [await trio.open_tcp_stream(*listener.getsockname())]
-            node.owner.endpoints.book["s-1"] = listener.getsockname()
+            node.decision_loop.endpoints.book["s-1"] = listener.getsockname()
             assert await site.submit("a1", "order") == 202
-            await site.until(lambda: node.owner.endpoints.out)
+            await site.until(lambda: node.decision_loop.endpoints.out)
             news = protocol.entries([member(1, listener.getsockname(), phase)], ["m1"], ["a"])
-            await node.owner.tell(node.owner.listed, "changes", news)
+            await node.decision_loop.enqueue(node.decision_loop.on_list_news, "changes", news)
             await site.until(lambda: node.counters["pushes_moot"])
             # The push was called back before it left, so the ledger has no record of it.
-            assert node.owner.dispatcher.state.notifications["a1"].pushes == 1 and queued
+            assert node.decision_loop.dispatcher.state.notifications["a1"].pushes == 1 and queued
             assert not node.ledger.owed["a1"].pushes and not owed(site)["a1"].pushes
 
     site.run(scene)
@@ -522,10 +522,10 @@
         first = owed(site)["a1"].ttl_at
         site.kill()
         node = await site.start()
-        await site.until(lambda: node.owner.ready)
+        await site.until(lambda: node.decision_loop.ready)
         assert node.ledger.owed["a1"].ttl_at == first
         found = protocol.entries([member(2, site.far.address, cell=8)], ["m1"], ["a"])
-        await node.owner.tell(node.owner.listed, "changes", found)
+        await node.decision_loop.enqueue(node.decision_loop.on_list_news, "changes", found)
         await site.until(lambda: site.far.got and not node.ledger.owed)
 
     site.run(scene)
@@ -616,8 +616,11 @@
         assert await site.submit("a1", "order") == 202
         await site.until(lambda: site.far.got)
         node.ledger.owed["a1"].ttl_at = site.world.clock.now() + int(left * SEC)
-        await node.owner.tell(
-            node.owner.finished, "s-1", [("a1", 0, ending, SEC, 0, True, None)], site.world.clock.now()
+        await node.decision_loop.enqueue(
+            node.decision_loop.on_outcomes,
+            "s-1",
+            [("a1", 0, ending, SEC, 0, True, None)],
+            site.world.clock.now(),
         )
         await site.until(lambda: not node.ledger.owed)
         assert [notice["message"] for notice in site.platform.notices] == notices
@@ -631,13 +634,13 @@
         node = await site.start()
         added, node.ledger.added = node.ledger.added, fail_to_write
         assert await site.submit("a1") == 503
-        assert await site.submit("a1") == 503  # refused at once, while the owner waits for the disk
+        assert await site.submit("a1") == 503  # refused at once, while the decision loop waits for the disk
         node.ledger.added = added
-        await site.until(lambda: not node.owner.stuck)
+        await site.until(lambda: not node.decision_loop.ledger_failing)
         assert await site.submit("a2") == 202
         await site.until(lambda: not node.ledger.owed)
         assert [headers["x-trace-id"] for _, headers, _ in site.far.got] == ["a2"]
-        assert node.owner.dispatcher.state.slots_out == 0
+        assert node.decision_loop.dispatcher.state.slots_out == 0
 
     site.run(scene)
 
@@ -651,21 +654,26 @@
 
     async def scene(site):
         node = await site.start()
-        owner = node.owner
+        decision_loop = node.decision_loop
         assert await site.submit("a1", "order") == 202  # sent, and unanswered
         assert await site.submit("a2", dest=8, ttl=600) == 202  # waits, since its only endpoint drains
         await site.until(lambda: site.far.got)
         added, node.ledger.added = node.ledger.added, fail_to_write
         assert await site.submit("a3") == 503
         gate.set()
-        owner.cancels.clear()
-        await owner.tell(
-            owner.finished, "s-1", [("a1", 0, "delivered", SEC, 0, True, None)], site.world.clock.now()
+        decision_loop.cancels_due.clear()
+        await decision_loop.enqueue(
+            decision_loop.on_outcomes,
+            "s-1",
+            [("a1", 0, "delivered", SEC, 0, True, None)],
+            site.world.clock.now(),
         )
-        await site.until(lambda: not owner.held)
-        assert owner.stuck and node.counters["svc.results.order.succeeded"] == 1
+        await site.until(lambda: not decision_loop.unfinished)
+        assert decision_loop.ledger_failing and node.counters["svc.results.order.succeeded"] == 1
         await site.until(lambda: site.platform.notices)  # past its TTL it cannot run any more
-        assert [notice["message"] for notice in site.platform.notices] == ["a2"] and owner.stuck
+        assert [notice["message"] for notice in site.platform.notices] == [
+            "a2"
+        ] and decision_loop.ledger_failing
         node.ledger.added = added
         await site.until(lambda: not node.ledger.pending and not node.ledger.owed)
         assert [notice["message"] for notice in site.platform.notices] == ["a2"]
@@ -680,7 +688,7 @@
         node.ledger.added = fail_to_write
         assert await site.submit("a2") == 503
         await site.until(lambda: site.platform.notices)
-        assert node.owner.stuck
+        assert node.decision_loop.ledger_failing
         site.kill()
         node = await site.start()
         await site.until(lambda: not node.ledger.owed and not node.ledger.pending)
@@ -698,8 +706,8 @@
         heard_at = site.world.clock.now()
         node.ledger.owed["a1"].ttl_at = heard_at + SEC // 5
         await trio.sleep(0.21)
-        await node.owner.tell(
-            node.owner.finished, "s-1", [("a1", 0, "delivered", SEC, 0, True, None)], heard_at
+        await node.decision_loop.enqueue(
+            node.decision_loop.on_outcomes, "s-1", [("a1", 0, "delivered", SEC, 0, True, None)], heard_at
         )
         await site.until(lambda: not node.ledger.owed)
         assert not site.platform.notices and node.counters["svc.results.order.succeeded"] == 1
@@ -740,7 +748,7 @@
         node = await site.start()
         assert await site.submit("a1", dest=8) == 202
         node.ledger.added = fail_to_write
-        node.owner.end("a1")
+        node.decision_loop.record_end("a1")
         assert not node.close() and any("could not be written" in text for _, text in site.lines)
 
     site.run(scene)
@@ -754,7 +762,7 @@
         node = await site.start()
         assert await site.submit("a1", body=b"x" * 9000) == 503
         assert await site.submit("a2") == 202
-        node.owner.held.update(dict.fromkeys(("b1", "b2")))
+        node.decision_loop.unfinished.update(dict.fromkeys(("b1", "b2")))
         assert await site.submit("a3") == 503
         assert node.counters["turned_away_full"] == 2
 
@@ -789,9 +797,9 @@
             answer(*message) if trio.current_time() > silent_until or message[0].startswith("GET") else None
         )
         node = await site.start()
-        node.owner.notices.add("a1", "given_up", 0)
+        node.decision_loop.notices.add("a1", "given_up", 0)
         await site.until(lambda: site.platform.notices)
-        assert trio.current_time() < silent_until + 0.3 and node.owner.notices.patience <= 0.3
+        assert trio.current_time() < silent_until + 0.3 and node.decision_loop.notices.answer_timeout <= 0.3
 
     site.run(scene)
 
@@ -804,7 +812,7 @@
         )
         node = await site.start()
         for number in ("bad", "a1", "a2"):
-            node.owner.notices.add(number, "handed_back", 500)
+            node.decision_loop.notices.add(number, "handed_back", 500)
         await site.until(lambda: len(site.platform.notices) == 2)
         assert site.platform.notices[0] == {"message": "a1", "outcome": "handed_back", "retry_in_ms": 500}
 
@@ -842,13 +850,13 @@
             {"revision": 3, "complete": True, "members": [member(2, other.address)]},
         ]
         node = await site.start()
-        await site.until(lambda: list(node.owner.dispatcher.state.endpoints) == ["s-2"])
+        await site.until(lambda: list(node.decision_loop.dispatcher.state.endpoints) == ["s-2"])
         watches = [first for first, _, _ in site.platform.got]
         assert watches[0] == "GET /catalog/members?index=1&wait=10000 HTTP/1.1" and "index=2" in watches[1]
         assert ("list", "entries cannot be read entries=2") in site.lines
         await site.submit("a1")
         await site.until(lambda: other.got)
-        assert not site.far.got and list(node.owner.entries) == ["s-2"]
+        assert not site.far.got and list(node.decision_loop.entries) == ["s-2"]
 
     site.run(scene)
 
@@ -859,7 +867,7 @@
         same = {"revision": revision, "complete": False, "members": []}
         site.platform.answer = lambda first, *rest: http(200, json.dumps(same).encode())
         node = await site.start()
-        node.owner.discovery.revision = revision
+        node.decision_loop.discovery.revision = revision
         await trio.sleep(0.35)
         watches = [first for first, _, _ in site.platform.got]
         assert 3 <= len(watches) <= 6 and all("index=" in first for first in watches)
@@ -882,11 +890,11 @@
     async def scene(site):
         site.platform.answer = lambda first, *rest: answer
         node = await site.start()
-        await site.until(lambda: node.owner.dispatcher.state.list_failures == 1)
+        await site.until(lambda: node.decision_loop.dispatcher.state.list_failures == 1)
         assert await site.submit("a1") == 202
         await site.until(lambda: site.far.got)
-        node.owner.subscribe(True)
-        await site.until(lambda: node.owner.dispatcher.state.list_failures == 2)
+        node.decision_loop.subscribe(True)
+        await site.until(lambda: node.decision_loop.dispatcher.state.list_failures == 2)
         assert node.counters["faults"] == 0
 
     site.run(scene)
@@ -976,8 +984,8 @@
 def test_not_ready_until_the_module_has_its_list_and_what_is_owed(site):
     async def scene(site):
         node = await site.start()
-        await site.until(lambda: node.owner.ready)
-        node.owner.ready = False
+        await site.until(lambda: node.decision_loop.ready)
+        node.decision_loop.ready = False
         assert (await site.ask(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 503
         assert await site.submit("a1") == 503
 
@@ -1042,7 +1050,7 @@
         await site.until(lambda: site.far.got and not node.ledger.owed)
         assert await site.submit("a1", "order") == 202
         assert node.counters["taken_on"] == 1 and len(site.far.got) == 1
-        await site.until(lambda: not node.owner.taken)
+        await site.until(lambda: not node.decision_loop.known_ids)
 
     site.run(scene)
 
@@ -1090,9 +1098,9 @@
     async def scene(site):
         node = await site.start()
         await site.submit("a1", dest=8)
-        await node.owner.tell(node.owner.unheard, Answer("a1"))
+        await node.decision_loop.enqueue(node.decision_loop.undo_unheard, Answer("a1"))
         await site.until(lambda: not node.ledger.owed)
-        assert not node.owner.held and not node.owner.dispatcher.state.notifications
+        assert not node.decision_loop.unfinished and not node.decision_loop.dispatcher.state.notifications
 
     site.run(scene)
 
@@ -1178,7 +1186,7 @@
         node = await site.start()
         config = site.folder / "config.json"
         await site.until(lambda: site.platform.got)
-        await site.until(lambda: node.owner.dispatcher.state.list_failures == (before == "failed"))
+        await site.until(lambda: node.decision_loop.dispatcher.state.list_failures == (before == "failed"))
         old, site.platform = site.platform, await Platform().open(site.nursery)
         site.platform.lists = [{"revision": 1, "complete": True, "members": [member(2, site.far.address)]}]
         text = config.read_text()
@@ -1188,9 +1196,9 @@
         assert node.config.discovery == old.address and node.counters["faults"] == 0
         site.config()
         node.reload(site.reread)
-        node.owner.notices.add("a1", "given_up", 0)
+        node.decision_loop.notices.add("a1", "given_up", 0)
         await site.until(
-            lambda: site.platform.notices and list(node.owner.dispatcher.state.endpoints) == ["s-2"]
+            lambda: site.platform.notices and list(node.decision_loop.dispatcher.state.endpoints) == ["s-2"]
         )
         await site.until(lambda: len([first for first, _, _ in site.platform.got if "GET" in first]) == 2)
         asked = [first.split()[1] for first, _, _ in site.platform.got if "GET" in first]
@@ -1250,7 +1258,7 @@
 def test_a_fault_of_one_event_is_logged_and_the_rest_goes_on(site):
     async def scene(site):
         node = await site.start()
-        await node.owner.tell(lambda: 1 // 0)
+        await node.decision_loop.enqueue(lambda: 1 // 0)
         assert await site.submit("a1") == 202
         assert node.counters["faults"] == 1 and any(code == "fault" for code, _ in site.lines)
 
@@ -1260,10 +1268,13 @@
 def test_what_the_module_fails_at_is_refused_and_not_owed(site):
     async def scene(site):
         node = await site.start()
-        await site.until(lambda: node.owner.ready)
-        notification, node.owner.dispatcher.notification = node.owner.dispatcher.notification, None
+        await site.until(lambda: node.decision_loop.ready)
+        notification, node.decision_loop.dispatcher.notification = (
+            node.decision_loop.dispatcher.notification,
+            None,
+        )
         assert await site.submit("a1") == 503
-        node.owner.dispatcher.notification = notification
+        node.decision_loop.dispatcher.notification = notification
         assert await site.submit("a2") == 202 and "a1" not in node.ledger.owed
 
     site.run(scene)
@@ -1274,9 +1285,9 @@
         node = Node(site.config(), site.world, log=site.log)
         for number, ttl_at in (("a1", "soon"), ("a2", site.world.clock.now() + SEC)):
             node.ledger.take(number, "news", 8, ttl_at, "", b"")
-        node.owner.begin([])
-        assert node.owner.ready and node.counters["faults"] == 1
-        assert list(node.owner.dispatcher.state.notifications) == ["a2"]
+        node.decision_loop.start_module([])
+        assert node.decision_loop.ready and node.counters["faults"] == 1
+        assert list(node.decision_loop.dispatcher.state.notifications) == ["a2"]
         node.ledger.close()
 
     site.run(scene)
@@ -1285,12 +1296,12 @@
 def test_what_the_module_never_ends_is_ended_after_its_ttl(site):
     async def scene(site):
         node = await site.start()
-        await site.until(lambda: node.owner.ready)
-        node.owner.dispatcher.decide = None
+        await site.until(lambda: node.decision_loop.ready)
+        node.decision_loop.dispatcher.decide = None
         assert await site.submit("a1", ttl=100) == 202
         await site.until(lambda: site.platform.notices)
         assert site.platform.notices == [{"message": "a1", "outcome": "given_up"}]
-        assert not node.owner.held and not node.owner.dispatcher.state.notifications
+        assert not node.decision_loop.unfinished and not node.decision_loop.dispatcher.state.notifications
 
     site.run(scene)
 
@@ -1420,14 +1431,14 @@
         node = await site.start()
         assert await site.submit("a1", dest=8, ttl=9000) == 202
         stream = await site.client()
-        node.owner.carry_out = lambda: None  # as if the decision loop were suspended
+        node.decision_loop.execute_requests = lambda: None  # as if the decision loop were suspended
         await stream.send_all(handed("X-Trace-Id: a1", "X-Addressing: dest=8", "X-Expires-In-Ms: 9000"))
-        await site.until(lambda: node.owner.answers)
+        await site.until(lambda: node.decision_loop.answers_due)
         stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         stream.socket.close()
         await trio.sleep(0.05)
-        del node.owner.carry_out
-        await node.owner.tell(len, "")
+        del node.decision_loop.execute_requests
+        await node.decision_loop.enqueue(len, "")
         await site.until(lambda: any("client=" in text for event, text in site.lines if event == "conn"))
         await trio.sleep(0.05)
         assert list(owed(site)) == ["a1"] and not node.counters["unheard"]
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -60,10 +60,10 @@
         due_at = trio.current_time()
         if trouble != "silent":
             site.network.how = lambda: trouble * is_failing()
-        node.owner.notices.add("a1", "given_up", 0)
+        node.decision_loop.notices.add("a1", "given_up", 0)
         assert await last_accepted(seen, "a1") - recovered_at <= 0.2
         await trio.sleep(1)
-        assert not node.owner.notices.due and node.counters["notices_posted"] == 1
+        assert not node.decision_loop.notices.due and node.counters["notices_posted"] == 1
 
     play(site, scene)
 
@@ -75,12 +75,12 @@
         is_dead = False
         seen = platform(site, lambda: is_dead and len(seen.posts) == 2)
         node = await site.start()
-        node.owner.notices.add("a1", "given_up", 0)
+        node.decision_loop.notices.add("a1", "given_up", 0)
         await last_accepted(seen, "a1")
         is_dead, due_at = True, trio.current_time()
-        node.owner.notices.add("a2", "given_up", 0)
+        node.decision_loop.notices.add("a2", "given_up", 0)
         await trio.sleep(0.05)
-        node.owner.notices.add("a3", "handed_back", 500)
+        node.decision_loop.notices.add("a3", "handed_back", 500)
         assert await last_accepted(seen, "a2", "a3") - due_at < 0.15
         assert seen.posts[-1][1] == ["a2", "a3"]
 
@@ -109,8 +109,8 @@
         site.platform.answer = answer
         node = await site.start()
         for number in range(100):
-            node.owner.notices.add(f"a{number}", "given_up", 0)
-        while node.owner.notices.due:
+            node.decision_loop.notices.add(f"a{number}", "given_up", 0)
+        while node.decision_loop.notices.due:
             await trio.sleep(0.1)
         assert trio.current_time() < 10 and seen.max_open <= 2 and node.counters["notices_posted"] == 100
 
@@ -130,7 +130,7 @@
         node = await site.start()
         ids = [f"a{number}" for number in range(100)]
         for ntf_id in ids:
-            node.owner.notices.add(ntf_id, "given_up", 0)
+            node.decision_loop.notices.add(ntf_id, "given_up", 0)
         due_at = trio.current_time()
         assert await last_accepted(seen, *set(ids) - set(bad)) - due_at < 0.3
         bad.clear()
@@ -144,9 +144,9 @@
     async def scene(site):
         seen = platform(site, lambda: len(seen.posts) > 1)
         node = await site.start()
-        node.owner.notices.add("a1", "given_up", 0)
+        node.decision_loop.notices.add("a1", "given_up", 0)
         await last_accepted(seen, "a1")  # its connection is kept
-        node.owner.notices.add("a2", "given_up", 0)  # the post gets no answer
+        node.decision_loop.notices.add("a2", "given_up", 0)  # the post gets no answer
         while len(seen.posts) < 2:
             await trio.sleep(0.005)
         seen_before, moved_at = seen, trio.current_time()
@@ -155,9 +155,9 @@
         site.config()
         node.reload(site.reread)
         assert await last_accepted(seen, "a2") - moved_at < 0.15
-        node.owner.notices.add("a3", "given_up", 0)
+        node.decision_loop.notices.add("a3", "given_up", 0)
         await last_accepted(seen, "a3")
-        assert len(seen_before.posts) == 2 and not node.owner.notices.due
+        assert len(seen_before.posts) == 2 and not node.decision_loop.notices.due
 
     play(site, scene)
 
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -210,7 +210,7 @@
         assert (await site.ask(text.replace(b"{0}", name.encode(written))))[0] == 202
         await site.until(lambda: not node.ledger.owed)
         assert ids(site.far) == {"a1": 1} and not site.platform.notices
-        assert set(node.owner.dispatcher.state.tenant_next_at) == {name}
+        assert set(node.decision_loop.dispatcher.state.tenant_next_at) == {name}
         status, _ = await site.ask(b"GET /_counters HTTP/1.1\r\nHost: api\r\n\r\n")
         assert status == 200 and f"svc.results.{name}.succeeded 1\n" in site.payload.decode()
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -84,10 +84,10 @@
         return name
 
     async def ready(self):
-        await self.until(lambda: self.node.owner.ready and not self.policy.unready())
+        await self.until(lambda: self.node.decision_loop.ready and not self.policy.unready())
 
     async def in_force(self, number):
-        await self.until(lambda: self.node.owner.in_force == number == self.policy.holds())
+        await self.until(lambda: self.node.decision_loop.policy_number == number == self.policy.holds())
 
     async def offered(self, number, topic="news", **more):
         """(status, x-policy-number or None)."""
@@ -141,13 +141,13 @@
         assert b.policy.lines()[2] == "last=2 outcome=decided by=d1 why=-"
 
         def objectives(node):
-            found = node.owner.dispatcher.state.notifications
+            found = node.decision_loop.dispatcher.state.notifications
             return [found[name].topic["objective"] // MS for name in ("a0", "a1", "a2")]
 
         assert objectives(a.node) == [2000, 700, 900]
         a.kill()
         await a.start()
-        await a.until(lambda: a.node.owner.ready)
+        await a.until(lambda: a.node.decision_loop.ready)
         assert objectives(a.node) == [2000, 700, 900]
         assert [owed.under for owed in a.node.ledger.owed.values()] == [0, 1, 2]
         await a.in_force(2)
@@ -270,7 +270,7 @@
         a.node.reload(a.reread)
         assert any("not proposed" in text for event, text in a.lines if event == "policy")
         await trio.sleep(0.2)
-        assert [member.node.owner.in_force for member in (a, b, c)] == [1, 1, 1]
+        assert [member.node.decision_loop.policy_number for member in (a, b, c)] == [1, 1, 1]
 
     three(scene)
 
@@ -280,7 +280,7 @@
 
 def test_one_that_is_alone_takes_on_nothing_and_advises_when_to_come(three):
     async def scene(a, b, c):
-        await a.until(lambda: a.node.owner.ready)
+        await a.until(lambda: a.node.decision_loop.ready)
         assert await a.offered("a1") == (503, None)
         assert 0 < float(a.headers["retry-after"]) < 1
         assert (await a.ask(b"GET /_health HTTP/1.1\r\nHost: api\r\n\r\n"))[0] == 503
@@ -300,7 +300,7 @@
 
 def test_a_licence_that_ends_while_the_ledger_is_written_takes_it_back(three):
     async def scene(a, b, c):
-        flush, holds, owner = a.node.ledger.flush, a.policy.holds, a.node.owner
+        flush, holds, decision_loop = a.node.ledger.flush, a.policy.holds, a.node.decision_loop
 
         def slow():
             flush()
@@ -309,7 +309,7 @@
         a.node.ledger.flush = slow
         assert (await a.offered("a1"))[0] == 503 and "retry-after" in a.headers
         a.node.ledger.flush, a.policy.holds = flush, holds
-        assert not a.node.ledger.owed and not owner.held and not a.far.got
+        assert not a.node.ledger.owed and not decision_loop.unfinished and not a.far.got
         assert await a.offered("a1") == (202, "0")
         await a.until(lambda: len(a.far.got) == 1)
 
@@ -318,15 +318,15 @@
 
 def test_what_was_taken_on_in_time_has_one_answer_though_the_licence_ends_before_it_leaves(three):
     async def scene(a, b, c):
-        carry_out = a.node.owner.carry_out
+        carry_out = a.node.decision_loop.execute_requests
 
         def released():
-            took = [answer for answer in a.node.owner.answers if answer.took]
+            took = [answer for answer in a.node.decision_loop.answers_due if answer.is_accepted]
             carry_out()
             if took:
                 a.policy.holds = lambda: None
 
-        a.node.owner.carry_out = released
+        a.node.decision_loop.execute_requests = released
         assert await a.offered("a1", "order") == (202, "0")  # its push has begun: a no would be untrue
         assert await a.offered("a2", "order") == (503, None)
         assert [*a.node.ledger.owed] == ["a1"]
@@ -476,7 +476,9 @@
         own = node.config.settings
 
         def refused(text, memory=1 << 30, sockets=99, disk=1 << 20):
-            return document.refusal(text.encode(), own, node.owner, node.ledger, memory, sockets, disk)
+            return document.refusal(
+                text.encode(), own, node.decision_loop, node.ledger, memory, sockets, disk
+            )
 
         assert refused(PLAIN) == ""
         assert "pay is missing" in refused(PLAIN.replace('"pay"', '"else"'))
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -51,7 +51,7 @@
 async def opened(site, node):
     """The list puts an endpoint of that destination in service."""
     found = protocol.entries([member(8, site.far.address, cell=8)], ["m1", "m2"], ["a"])
-    await node.owner.tell(node.owner.listed, "changes", found)
+    await node.decision_loop.enqueue(node.decision_loop.on_list_news, "changes", found)
 
 
 # ---- untried
@@ -65,9 +65,9 @@
         await taken_and_killed(site, names)
         site.wire = with_permissions(most_held=10)
         node = await site.start()
-        await site.until(lambda: node.owner.ready)
+        await site.until(lambda: node.decision_loop.ready)
         assert await site.submit("b0", "order") == 503  # at capacity, a new one is rejected
-        assert not site.platform.notices and len(node.owner.dispatcher.state.notifications) == 10
+        assert not site.platform.notices and len(node.decision_loop.dispatcher.state.notifications) == 10
         await opened(site, node)
         await site.until(lambda: not node.ledger.owed)
         assert sorted(set(sent(site))) == names and not site.platform.notices
@@ -81,7 +81,7 @@
     async def scene(site):
         await taken_and_killed(site, ["a0", "a1", "a2"])
         node = await site.start()
-        await site.until(lambda: node.owner.ready)
+        await site.until(lambda: node.decision_loop.ready)
         for name in ("b0", "b1", "b2"):
             assert await site.submit(name, "pay", dest=8) == 202  # worth twice as much, and newer
         await opened(site, node)
@@ -323,7 +323,7 @@
         await site.until(lambda: network.requested)
         await site.until(lambda: site.clock.now() > first + SEC)
         network.go.set()
-        await site.until(lambda: not node.ledger.owed and node.owner.endpoints.settled())
+        await site.until(lambda: not node.ledger.owed and node.decision_loop.endpoints.settled())
         assert len(site.far.got) == 1 and [notice["outcome"] for notice in site.platform.notices] == [
             "given_up"
         ]
@@ -364,7 +364,7 @@
         await site.until(lambda: site.world.network.began == 1)
         new = await replaced(site)
         await site.until(lambda: site.world.network.began == 2)
-        assert old.counters["pushes_moot"] == 1 and list(new.owner.endpoints.out) == [("a", 1)]
+        assert old.counters["pushes_moot"] == 1 and list(new.decision_loop.endpoints.out) == [("a", 1)]
         assert not owed(site)["a"].pushes
         new.before.close()
         new.scope.cancel()
@@ -373,7 +373,7 @@
         await trio.testing.wait_all_tasks_blocked()
         site.world = world
         node = await site.start()
-        await site.until(lambda: node.owner.ready and not node.ledger.owed)
+        await site.until(lambda: node.decision_loop.ready and not node.ledger.owed)
         assert len(far_calls(site)) == 1 and not site.platform.notices
 
     site.run(scene)
@@ -385,8 +385,8 @@
         with socket.socket() as unused:  # connects to its port are refused, and nobody else gets the port
             unused.bind(("127.0.0.1", 0))
             node = await site.start()
-            await site.until(lambda: node.owner.ready)
-            node.owner.endpoints.book["s-1"] = unused.getsockname()
+            await site.until(lambda: node.decision_loop.ready)
+            node.decision_loop.endpoints.book["s-1"] = unused.getsockname()
             assert await site.submit("a", topic, ttl=9000) == 202
             await site.until(lambda: node.counters["pushes_unreachable"] and owed(site)["a"].pushes)
             site.kill()
@@ -395,8 +395,8 @@
         assert not before.ran
         site.told["known"] = {"complete": True, "members": []}  # nothing is sent, so the state stays
         node = await site.start()
-        await site.until(lambda: node.owner.ready)
-        found = node.owner.dispatcher.state.notifications["a"]
+        await site.until(lambda: node.decision_loop.ready)
+        found = node.decision_loop.dispatcher.state.notifications["a"]
         assert found.never_sent and found.may_have_run is None and found.pushes == before.pushes
         site.kill()
         del site.told["known"]
@@ -413,7 +413,7 @@
             unused.bind(("127.0.0.1", 0))
             site.world = replace(site.world, network=Held(site.far))
             node = await site.start()
-            calls, network = node.owner.endpoints, site.world.network
+            calls, network = node.decision_loop.endpoints, site.world.network
             assert await site.submit("a", "order", ttl=9000) == 202
             for times in range(1, 4):
                 await site.until(lambda: network.began == times and calls.out)  # noqa: B023
@@ -422,7 +422,7 @@
                 calls.recall({"s-1"})
             await site.until(lambda: node.counters["pushes_unreachable"] and owed(site)["a"].pushes)
             assert (
-                node.owner.dispatcher.state.notifications["a"].pushes == 4
+                node.decision_loop.dispatcher.state.notifications["a"].pushes == 4
                 and node.counters["pushes_moot"] == 3
             )
             assert owed(site)["a"].pushes == 1 and not owed(site)["a"].left
@@ -523,7 +523,7 @@
             "members": [member(1, site.far.address), member(8, site.far.address, cell=8)],
         }
         node = await site.start()
-        await site.until(lambda: node.owner.ready and not node.ledger.owed)
+        await site.until(lambda: node.decision_loop.ready and not node.ledger.owed)
         ran = {name for name, one in found.items() if one.ran}
         noticed = {name for name, one in found.items() if one.notice}
         # Those that may have run or had ended get an outcome notice, all others a call, and none gets both.
@@ -603,7 +603,7 @@
             Ledger(site.folder / "state", 1 << 20).close()
         node = await site.start()
         assert not node.ledger.damaged
-        await site.until(lambda: node.owner.ready and not node.ledger.owed)
+        await site.until(lambda: node.decision_loop.ready and not node.ledger.owed)
         abandoned = [] if topic == "news" else ["a0", "a1"]
         assert sorted(sent(site)) == sorted({"a0", "a1", "a2"} - set(abandoned))
         assert sorted(notice["message"] for notice in site.platform.notices) == abandoned
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -106,7 +106,7 @@
         assert await site.submit("a1", "order", dest=8) == 202
         monkeypatch.setattr(Line, "send_in_two", held)
         found = protocol.entries([member(9, site.far.address, cell=8, kind="m2")], ["m1", "m2"], ["a"])
-        await node.owner.tell(node.owner.listed, "changes", found)
+        await node.decision_loop.enqueue(node.decision_loop.on_list_news, "changes", found)
         await site.until(lambda: site.platform.notices and node.counters["withheld_expired"])
         monkeypatch.setattr(Line, "send_in_two", send_in_two)
         await site.until(lambda: not node.ledger.owed)
@@ -132,12 +132,14 @@
         assert await site.submit("a0", ttl=3000) == 202
         await site.until(lambda: held.began)
         if how == "drain":
-            entries = [(node.owner.entries["s-1"][:-1] + ("draining",), site.far.address)]
-            await node.owner.tell(node.owner.listed, "changes", entries)
-            await site.until(lambda: node.owner.entries["s-1"][-1] == "draining")
+            entries = [(node.decision_loop.entries["s-1"][:-1] + ("draining",), site.far.address)]
+            await node.decision_loop.enqueue(node.decision_loop.on_list_news, "changes", entries)
+            await site.until(lambda: node.decision_loop.entries["s-1"][-1] == "draining")
         else:
-            node.owner.told_waits["s-1"] = node.owner.now() + 30 * SEC
-            node.owner.dispatcher.state.endpoints["s-1"].route.wait_until = node.owner.now() + 30 * SEC
+            node.decision_loop.retry_after_until["s-1"] = node.decision_loop.now() + 30 * SEC
+            node.decision_loop.dispatcher.state.endpoints["s-1"].route.wait_until = (
+                node.decision_loop.now() + 30 * SEC
+            )
         held.go.set()
         await site.until(lambda: node.counters[VIOLATIONS])
         await trio.sleep(0.05)
@@ -174,20 +176,22 @@
         node = await site.start()
         assert await site.submit("a0", dest=8, ttl=300) == 202
         await site.until(lambda: site.platform.notices)
-        node.owner.expired("a0")
+        node.decision_loop.expired("a0")
         assert node.counters["violations_answered_twice"] == 1 and len(site.platform.notices) == 1
 
     site.run(scene)
 
 
 def test_an_end_that_comes_late_is_counted(site, monkeypatch):
-    """Seeded defect: the decision module holds an end back, and the owner's own check comes too late."""
-    monkeypatch.setattr("juniperlanding.net.owner.LAST_CALL", SEC)
+    """Seeded defect: the decision module holds an end back, and the decision loop's check comes too late."""
+    monkeypatch.setattr("juniperlanding.net.owner.END_GRACE", SEC)
     site.violations = 1
 
     async def scene(site):
         node = await site.start()
-        monkeypatch.setattr(node.owner.dispatcher, "abandon", lambda ntf: ntf.destination.waiting.remove(ntf))
+        monkeypatch.setattr(
+            node.decision_loop.dispatcher, "abandon", lambda ntf: ntf.destination.waiting.remove(ntf)
+        )
         assert await site.submit("a0", dest=8, ttl=300) == 202
         await site.until(lambda: site.platform.notices)
         assert node.counters["violations_late_end"] == 1
@@ -201,7 +205,7 @@
 def test_one_id_can_be_followed_from_its_yes_to_its_end(site):
     async def scene(site):
         node = await site.start()
-        node.owner.trace.is_on = True
+        node.decision_loop.trace.is_on = True
         assert await site.submit("a0") == 202
         await site.until(lambda: not node.ledger.owed)
         assert await site.submit("a1", dest=99) == 503
--- a/tests/test_same_id.py
+++ b/tests/test_same_id.py
@@ -5,9 +5,9 @@
 from juniperlanding.net.owner import Answer
 
 
-def submit(owner, ntf_id, ttl_at):
+def submit(decision_loop, ntf_id, ttl_at):
     answer = Answer(ntf_id)
-    assert owner.tell_now(owner.submit, "news", 8, ttl_at, "", b"x", answer)
+    assert decision_loop.try_enqueue(decision_loop.submit, "news", 8, ttl_at, "", b"x", answer)
     return answer
 
 
@@ -16,10 +16,10 @@
 
     async def scene(site):
         node = await site.start()
-        await site.until(lambda: node.owner.ready)
+        await site.until(lambda: node.decision_loop.ready)
         # With 1 ms left it cannot arrive in time: it is ended in the iteration that accepts it.
-        ttl_at = node.owner.now() + 1_000_000
-        answers = [submit(node.owner, "a0", ttl_at) for _ in range(2)]
+        ttl_at = node.decision_loop.now() + 1_000_000
+        answers = [submit(node.decision_loop, "a0", ttl_at) for _ in range(2)]
         for answer in answers:
             await answer.ready.wait()
         assert [answer.status for answer in answers] == [503, 503] and not node.ledger.owed
@@ -32,7 +32,7 @@
 
     async def scene(site):
         node = await site.start()
-        owner, respond = node.owner, node.clients.respond
+        decision_loop, respond = node.decision_loop, node.clients.respond
 
         async def lose_connection(line, status, *rest, **more):
             monkeypatch.setattr(node.clients, "respond", respond)
@@ -47,6 +47,6 @@
         )
         await site.until(lambda: site.platform.notices)
         assert [notice["message"] for notice in site.platform.notices] == ["a0"]
-        assert not owner.counters["unheard"]
+        assert not decision_loop.counters["unheard"]
 
     site.run(scene)
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -34,7 +34,7 @@
 
 
 def endpoint_state(node):
-    known = node.owner.dispatcher.state.endpoints.get("s-1")
+    known = node.decision_loop.dispatcher.state.endpoints.get("s-1")
     return known and known.state
 
 
@@ -190,13 +190,13 @@
         node = await site.start()
         for number in range(60):  # the capacity is 50
             await site.submit(f"a{number}", kind, ttl=9000)
-        least = 0.8 * node.owner.dispatcher.state.settings["most_held"]
-        assert len(node.owner.held) > least
+        least = 0.8 * node.decision_loop.dispatcher.state.settings["most_held"]
+        assert len(node.decision_loop.unfinished) > least
         if restart:
             site.kill()
             node = await site.start()
-            await site.until(lambda: node.owner.ready)
-            assert len(node.owner.held) > least / 2  # once-only ones that were sent are failed
+            await site.until(lambda: node.decision_loop.ready)
+            assert len(node.decision_loop.unfinished) > least / 2  # once-only ones that were sent are failed
         for number in range(12):
             assert await site.submit(f"b{number}", dest=9) == 202
             await site.until(lambda number=number: len(site.other.got) > number)
@@ -231,15 +231,15 @@
 
     async def scene(site):
         node = await site.start()
-        await site.until(lambda: node.owner.ready)
-        node.owner.carry_out = lambda: None  # as if the decision loop were suspended
+        await site.until(lambda: node.decision_loop.ready)
+        node.decision_loop.execute_requests = lambda: None  # as if the decision loop were suspended
         async with trio.open_nursery() as clients:
             for number in range(60):
                 clients.start_soon(client, number)
             await site.until(lambda: node.clients.open == 16)
             await trio.sleep(0.1)
-            del node.owner.carry_out
-            await node.owner.tell(len, "")
+            del node.decision_loop.execute_requests
+            await node.decision_loop.enqueue(len, "")
         assert len(answers) == 60 and {status for status, _ in answers} <= {202, 503}
         assert any(headers.get("connection") == "close" for _, headers in answers)  # those over the limit
 
@@ -250,15 +250,15 @@
     async def scene(site):
         node = await site.start()
         stream = await site.client()
-        await site.until(lambda: node.owner.ready)
-        node.owner.carry_out = lambda: None  # as if the decision loop were suspended
+        await site.until(lambda: node.decision_loop.ready)
+        node.decision_loop.execute_requests = lambda: None  # as if the decision loop were suspended
         await stream.send_all(handed("X-Addressing: dest=8"))
-        await site.until(lambda: node.owner.answers)
+        await site.until(lambda: node.decision_loop.answers_due)
         stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         stream.socket.close()
         await trio.sleep(0.05)
-        del node.owner.carry_out
-        await node.owner.tell(len, "")
+        del node.decision_loop.execute_requests
+        await node.decision_loop.enqueue(len, "")
         with trio.fail_after(0.5):
             await site.until(lambda: node.counters["unheard"] and not node.ledger.owed)
 
--- a/tests/test_standing_bytes.py
+++ b/tests/test_standing_bytes.py
@@ -79,15 +79,15 @@
         network = WatchedNetwork(site.far, lambda name: has_received(socks[name], b"HTTP/1.1 202"))
         site.world = replace(site.world, network=network)
         node = await site.start()
-        await site.until(lambda: node.owner.ready)
-        carry_out = node.owner.carry_out
+        await site.until(lambda: node.decision_loop.ready)
+        carry_out = node.decision_loop.execute_requests
         for name in ("new", "kept"):  # connections to the endpoint
-            node.owner.carry_out = lambda: None  # as if the decision loop were suspended
+            node.decision_loop.execute_requests = lambda: None  # as if the decision loop were suspended
             for number in range(many):
                 submit(f"{name}{number}")
-            await site.until(lambda: len(node.owner.answers) == many)
-            node.owner.carry_out = carry_out
-            await node.owner.tell(len, "")
+            await site.until(lambda: len(node.decision_loop.answers_due) == many)
+            node.decision_loop.execute_requests = carry_out
+            await node.decision_loop.enqueue(len, "")
             await site.until(lambda: not node.ledger.owed)
         assert not network.late and len(site.far.got) == 2 * many > site.far.connections
         for sock in socks.values():
@@ -259,7 +259,7 @@
     async def scene(site):
         node = await site.start()
         stream = await site.client()
-        await site.until(lambda: node.owner.ready)
+        await site.until(lambda: node.decision_loop.ready)
         senders.append(stream.socket._sock)
         await stream.send_all(text)
         await site.until(lambda: not senders)
@@ -339,7 +339,7 @@
     async def scene(site):
         node = await site.start()
         stream = await site.client()
-        await site.until(lambda: node.owner.ready)
+        await site.until(lambda: node.decision_loop.ready)
         await stream.send_all(b"".join(texts))
         if how == "ends its sending":
             await stream.send_eof()
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -122,10 +122,10 @@
         for number in LOCAL_ERRORS:
             name = errno.errorcode[number]
             network.number, network.left = number, 6
-            node.owner.endpoints.close_idle("s-1")
+            node.decision_loop.endpoints.close_idle("s-1")
             assert await site.submit(name) == 202
             await site.until(lambda: not node.ledger.owed)
-            endpoint = node.owner.dispatcher.state.endpoints["s-1"]
+            endpoint = node.decision_loop.dispatcher.state.endpoints["s-1"]
             assert not endpoint.failure_run and not endpoint.trouble and not network.left, name
         assert len(site.far.got) == len(LOCAL_ERRORS) and not site.platform.notices
 
@@ -231,7 +231,7 @@
         node = await site.start()
         network.to = site.far.address
         assert await site.submit("a0") == 202
-        await site.until(lambda: node.owner.dispatcher.state.endpoints["s-1"].failure_run)
+        await site.until(lambda: node.decision_loop.dispatcher.state.endpoints["s-1"].failure_run)
         network.left = 0
         await site.until(lambda: not node.ledger.owed)
         assert len(site.far.got) == 1
@@ -290,12 +290,15 @@
         site.world = replace(site.world, files=files)
         node.ledger.files = files
         files.failing = True
-        await node.owner.tell(node.owner.dispatcher.abandon, node.owner.dispatcher.state.notifications["a0"])
+        await node.decision_loop.enqueue(
+            node.decision_loop.dispatcher.abandon, node.decision_loop.dispatcher.state.notifications["a0"]
+        )
         await site.until(lambda: site.platform.notices)  # its time is up
         assert [notice["outcome"] for notice in site.platform.notices] == ["given_up"]
         files.failing = False
         await site.until(
-            lambda: b'"o"' in (site.folder / "state" / "ledger").read_bytes() or not node.owner.stuck
+            lambda: b'"o"' in (site.folder / "state" / "ledger").read_bytes()
+            or not node.decision_loop.ledger_failing
         )
         site.kill()
         site.world = replace(site.world, files=seams.Files())
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -36,7 +36,7 @@
 
     site.address = await site.nursery.start(run)
     made.scope = scope
-    await site.until(lambda: made.owner.ready)
+    await site.until(lambda: made.decision_loop.ready)
     return made
 
 
@@ -120,17 +120,17 @@
         old = await first(site)
         await site.submit("a1")
         await site.until(lambda: old.counters["pushes_throttled"])
-        endpoint = old.owner.dispatcher.state.endpoints["s-1"]
+        endpoint = old.decision_loop.dispatcher.state.endpoints["s-1"]
         endpoint.ejected, endpoint.failure_run = True, 5
         until = endpoint.route.wait_until
         new = await replace(site)
-        other = new.owner.dispatcher.state.endpoints["s-1"]
+        other = new.decision_loop.dispatcher.state.endpoints["s-1"]
         assert (other.ejected, other.failure_run, other.route.wait_until) == (
             True,
             5,
             until,
         ) and other is not endpoint
-        assert new.owner.held.keys() == {"a1"} and len(site.far.got) == 1
+        assert new.decision_loop.unfinished.keys() == {"a1"} and len(site.far.got) == 1
 
     site.run(scene, lambda *message: http(429, b"", "Retry-After: 3"))
 
@@ -186,7 +186,7 @@
         if failure != "stalls":
             end.close()
         await site.until(lambda: any("serving on" in text for _, text in site.lines))
-        await site.until(lambda: old.owner.ready)
+        await site.until(lambda: old.decision_loop.ready)
         site.far.go.set()
         assert await site.submit("a2", stream=stream) == 202
         await site.until(lambda: not old.ledger.owed)
@@ -203,7 +203,9 @@
         await replace(site)
         assert await site.submit("a1", dest=8) == 202
         kill_new_process(site)
-        await site.until(lambda: not old.replaced and old.owner.ready and "a1" in old.owner.held)
+        await site.until(
+            lambda: not old.replaced and old.decision_loop.ready and "a1" in old.decision_loop.unfinished
+        )
         site.address = old.listener.address
         assert await site.submit("a2") == 202
 
@@ -227,7 +229,7 @@
                 stranger.sendall(noise)
                 stranger.shutdown(socket.SHUT_WR)
                 await trio.to_thread.run_sync(stranger.recv, 1)
-        assert not old.owner.frozen and await site.submit("a1") == 202
+        assert not old.decision_loop.frozen and await site.submit("a1") == 202
 
     site.run(scene)
 
@@ -259,7 +261,7 @@
                     await end.sock.send(b"f")
             end.close()
         await site.until(lambda: not old.succession.callers)
-        assert not old.owner.frozen and await site.submit("a1") == 202
+        assert not old.decision_loop.frozen and await site.submit("a1") == 202
 
     site.run(scene)
 
@@ -286,7 +288,7 @@
             site.told["management"] = f"127.0.0.1:{taken.getsockname()[1]}"
             with pytest.raises(AddressTaken, match="in use"):
                 await replace(site)
-        assert not any("takes over" in text for _, text in site.lines) and not old.owner.frozen
+        assert not any("takes over" in text for _, text in site.lines) and not old.decision_loop.frozen
 
     site.run(scene)
 
@@ -313,7 +315,9 @@
         before = len(os.listdir("/proc/self/fd"))
         with pytest.raises(DiskFailing if fails == "to load" else succession.OtherForm):
             await succession.begin(make, site.config(), site.world)
-        await site.until(lambda: any("serving on" in text for _, text in site.lines) and old.owner.ready)
+        await site.until(
+            lambda: any("serving on" in text for _, text in site.lines) and old.decision_loop.ready
+        )
         assert await site.submit("a2", stream=stream) == 202
         await site.until(lambda: not old.ledger.owed)
         assert sum("takes over" in text for _, text in site.lines) == 1
@@ -340,7 +344,9 @@
         assert await site.submit("a1", "order", dest=8, stream=stream) == 202
         new = await replace(site)
         assert await site.submit("a2", stream=stream) == 202
-        assert "a1" in new.owner.held and any("begins from the ledger" in text for _, text in site.lines)
+        assert "a1" in new.decision_loop.unfinished and any(
+            "begins from the ledger" in text for _, text in site.lines
+        )
 
     site.run(scene)
 
@@ -366,7 +372,10 @@
         assert not new and not old.replaced
         old.ledger.flush = working_flush
         await site.until(lambda: new)
-        assert list(new[0].owner.held) == ["a1"] and await site.submit("a3", dest=8, stream=stream) == 202
+        assert (
+            list(new[0].decision_loop.unfinished) == ["a1"]
+            and await site.submit("a3", dest=8, stream=stream) == 202
+        )
 
     site.run(scene)
 
@@ -383,8 +392,8 @@
         channel.drop(descriptors)
         end.close()
         await site.until(lambda: any("serving on" in text for _, text in site.lines))
-        await site.until(lambda: old.owner.ready and old.owner.dispatcher.state.stops_at)
-        assert old.owner.dispatcher.state.stops_at == old.stops_at
+        await site.until(lambda: old.decision_loop.ready and old.decision_loop.dispatcher.state.stops_at)
+        assert old.decision_loop.dispatcher.state.stops_at == old.stops_at
         new = await replace(site)
         old.reload(site.reread)  # while it stands by
         new.reload(site.reread)
@@ -407,7 +416,7 @@
 
         old.build = fail_twice
         kill_new_process(site)
-        await site.until(lambda: len(tries) == 3 and not old.replaced and old.owner.ready)
+        await site.until(lambda: len(tries) == 3 and not old.replaced and old.decision_loop.ready)
         site.address = old.listener.address
         assert await site.submit("a1") == 202
 
