--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -20,7 +20,7 @@
 import trio
 
 from juniperlanding.ground.seams import Clock
-from juniperlanding.net.ledger import Owed, line
+from juniperlanding.net.ledger import PendingNotification, line
 from juniperlanding.processes.rig import free
 from juniperlanding.standins.peers import Far, Platform, http, member, read_message
 
@@ -62,7 +62,7 @@
         until = Clock().now() + TTL
         with open(self.folder / "state" / "ledger", "wb") as ledger:
             for number in range(owed):
-                one = Owed(f"{name}-{number}", "news", 7 + number % 2, until, "", BODY)
+                one = PendingNotification(f"{name}-{number}", "news", 7 + number % 2, until, "", BODY)
                 ledger.writelines(map(line, one.records()))
 
     def start(self):
--- a/benchmarks/shards.py
+++ b/benchmarks/shards.py
@@ -57,7 +57,7 @@
     def take(self):
         number = next(self.ids)
         self.order.append(f"n{number:012d}")
-        self.ledger.take(self.order[-1], "news", number % 997, 1 << 62, "k", b"x" * 300)
+        self.ledger.add_accepted(self.order[-1], "news", number % 997, 1 << 62, "k", b"x" * 300)
 
     def timed(self, what):
         begun = time.thread_time_ns()
@@ -68,8 +68,8 @@
     def round(self):
         for _ in range(ROUND):
             self.take()
-            self.ledger.write("p", self.order[self.ended], 0, 0, 1)
-            self.ledger.write("e", self.order[self.ended])
+            self.ledger.append_record("p", self.order[self.ended], 0, 0, 1)
+            self.ledger.append_record("e", self.order[self.ended])
             self.ended += 1
         self.ledger.flush()
         if self.ended > KEPT:
@@ -86,7 +86,7 @@
         fullest = max(shards, key=lambda shard: shard.live)
         if len(shards) < 4 and self.done % 2 == 0:
             return [fullest], [fullest.low, (fullest.low + fullest.high) // 2, fullest.high]
-        at = wasteful([(shard.file_size, shard.live) for shard in shards], self.ledger.most_file)
+        at = wasteful([(shard.file_size, shard.live) for shard in shards], self.ledger.max_file_size)
         return at is not None and ([shards[at]], [shards[at].low, shards[at].high])
 
     def rewrite(self):
--- a/juniperlanding/accord/document.py
+++ b/juniperlanding/accord/document.py
@@ -148,7 +148,7 @@
     policy = read(data)
     kinds = {one.get("name"): one.get("kind") for one in own["topic_types"]}
     told = {one["name"]: one["kind"] for one in policy.topics}
-    owed = {one.topic for one in ledger.owed.values()}
+    owed = {one.topic for one in ledger.notifications.values()}
     reasons = [f"topic type {name} of what it owes is missing" for name in sorted(owed - told.keys())]
     reasons += [f"topic type {name} is missing" for name in sorted(kinds.keys() - told.keys() - owed)]
     reasons += [f"topic type {name} is unknown" for name in sorted(told.keys() - kinds.keys())]
--- a/juniperlanding/accord/part.py
+++ b/juniperlanding/accord/part.py
@@ -229,7 +229,7 @@
             await self.decided.wait()
             self.decided = trio.Event()
             number, document = self.accord.number, self.accord.document
-            owed = {one.under for one in self.node.ledger.owed.values()}
+            owed = {one.policy_number for one in self.node.ledger.notifications.values()}
             kept = {one: text for one, text in self.documents.items() if one in owed}
             kept |= {number: document} if number else {}
             # At the bound what is owed under the oldest gets the operators' own terms after a restart.
--- a/juniperlanding/cli/owed.py
+++ b/juniperlanding/cli/owed.py
@@ -23,12 +23,12 @@
 
             ledgers = held(files, folder)
         else:
-            ledgers = [ledger.Books(files).load(f"{folder}/{ledger.FILE}")]
+            ledgers = [ledger.LedgerState(files).load(f"{folder}/{ledger.FILE}")]
     except OSError as error:
         raise system(error, folder) from None
     if damaged := sum(books.damaged for books in ledgers):
         print_error(ledger.Damaged(f"{folder}: {damaged} records cannot be read").told, None)
-    for notification in (one for books in ledgers for one in books.owed.values()):
+    for notification in (one for books in ledgers for one in books.notifications.values()):
         if args["--json"]:
             print(
                 json.dumps(
@@ -38,7 +38,7 @@
                         "destination": notification.destination,
                         "ttl_at": notification.ttl_at,
                         "pushes": notification.pushes,
-                        "may_have_run": len(notification.ran),
+                        "may_have_run": len(notification.possible_runs),
                         "notice": list(notification.notice),
                     }
                 )
@@ -50,6 +50,6 @@
                 f"dest={notification.destination}",
                 f"ttl_at={notification.ttl_at}",
                 f"pushes={notification.pushes}",
-                f"may_have_run={len(notification.ran)}",
+                f"may_have_run={len(notification.possible_runs)}",
                 *notification.notice,
             )
--- a/juniperlanding/emulator/invariants.py
+++ b/juniperlanding/emulator/invariants.py
@@ -280,18 +280,19 @@
         decision_loop, state = node.decision_loop, node.decision_loop.dispatcher.state
         # While the disk fails the decision loop waits, and what the sockets tell waits for it.
         waits = (
-            bool(decision_loop.ledger.pending)
+            bool(decision_loop.ledger.unwritten)
             or decision_loop.event_receiver.statistics().current_buffer_used
         )
-        calls = len({id(call) for call in decision_loop.endpoints.out.values()})
+        calls = len({id(call) for call in decision_loop.endpoints.in_flight.values()})
         self.lasting(
             dispatcher,
             "beliefs",
             now,
             STALE,
-            not waits and (set(state.pushes) != set(decision_loop.endpoints.out) or state.slots_out != calls),
+            not waits
+            and (set(state.pushes) != set(decision_loop.endpoints.in_flight) or state.slots_out != calls),
             f"module believes {len(state.pushes)} pushes out in {state.slots_out} calls, sockets carry "
-            f"{len(decision_loop.endpoints.out)} in {calls}",
+            f"{len(decision_loop.endpoints.in_flight)} in {calls}",
         )
         late = [
             n.id
@@ -334,8 +335,8 @@
             decision_loop = dispatcher.node.decision_loop
             left = {
                 "held": len(decision_loop.unfinished),
-                "owed": len(decision_loop.ledger.owed),
-                "out": len(decision_loop.endpoints.out),
+                "owed": len(decision_loop.ledger.notifications),
+                "out": len(decision_loop.endpoints.in_flight),
                 "remembered ids": len(decision_loop.known_ids),
                 "pushes": len(decision_loop.dispatcher.state.pushes),
                 "waiting": sum(len(d.waiting) for d in decision_loop.dispatcher.state.destinations.values()),
--- a/juniperlanding/emulator/mutants.py
+++ b/juniperlanding/emulator/mutants.py
@@ -39,10 +39,10 @@
 def ledger_written_a_round_late(self):
     """A client hears yes before its notification is on disk."""
     late = self.__dict__.setdefault("late", []) if hasattr(self, "__dict__") else []
-    late.append(list(self.pending))
-    self.pending.clear()
+    late.append(list(self.unwritten))
+    self.unwritten.clear()
     if len(late) > 3:
-        self.pending.extend(record for records in late for record in records)
+        self.unwritten.extend(record for records in late for record in records)
         late.clear()
         FLUSH(self)
 
@@ -75,17 +75,17 @@
 
 
 @mutant(owner.DecisionLoop, "restore")
-def ledger_not_read_at_start(self, owed):
+def ledger_not_read_at_start(self, notification):
     """What an earlier process took on is forgotten."""
 
 
-@mutant(ledger.Books, "apply")
+@mutant(ledger.LedgerState, "apply")
 def may_have_run_forgotten_in_the_ledger(self, record, size=0):
     """Which pushes may have run is lost over a restart."""
     return APPLY(self, record, size) if record[0] != "p" else None
 
 
-APPLY = ledger.Books.apply
+APPLY = ledger.LedgerState.apply
 
 
 @mutant(notices.Notices, "add")
--- a/juniperlanding/net/clients.py
+++ b/juniperlanding/net/clients.py
@@ -11,7 +11,7 @@
 from juniperlanding.net.counters import DECLINED
 from juniperlanding.net.line import GONE, Line
 from juniperlanding.net.owner import Answer
-from juniperlanding.net.system_errors import AcceptErrors, Concerns, concerns, name
+from juniperlanding.net.system_errors import AcceptErrors, Affected, affected, errno_name
 
 NO_RESPONSE_DUE = ("closed_by_us", "silent")  # end reasons of connections that are owed no response
 ENDED_BY_US = (
@@ -53,7 +53,7 @@
         self.connection_limit = trio.Semaphore(max_connections + ROOM)
         # Once frozen for a hand-over, connections between requests are carried over to the receiver.
         # leaving: the connections in their lingering close.
-        self.frozen, self.carried, self.leaving, self.accepting = False, [], set(), trio.CancelScope()
+        self.frozen, self.handed_over, self.leaving, self.accepting = False, [], set(), trio.CancelScope()
         self.accepts_nobody = trio.Event()
         self.accept_errors, self.freed_at = AcceptErrors(), float("-inf")
 
@@ -112,7 +112,7 @@
             scope.cancel()
 
     def settled(self):
-        return self.frozen and self.open == len(self.carried) + len(self.leaving)
+        return self.frozen and self.open == len(self.handed_over) + len(self.leaving)
 
     def add_connection(self, sock, peer):
         self.came += 1
@@ -141,10 +141,10 @@
 
     async def accept_failed(self, error):
         """Count and log a failed accept, free resources if that may help, and back off."""
-        self.counters[f"accept_errors_{name(error)}"] += 1
-        if self.accept_errors.is_news(error, trio.current_time()):
+        self.counters[f"accept_errors_{errno_name(error)}"] += 1
+        if self.accept_errors.should_log(error, trio.current_time()):
             self.log("accept", why=described(error), **system(error).fields)
-        if concerns(error) is Concerns.RESOURCES:
+        if affected(error) is Affected.RESOURCES:
             self.free_resources()
         await trio.sleep(self.accept_errors.pause(error))
 
@@ -204,7 +204,7 @@
 
     def busy(self):
         """The number of connections between request and response."""
-        return self.open - len(self.waiting) - len(self.leaving) - len(self.carried)
+        return self.open - len(self.waiting) - len(self.leaving) - len(self.handed_over)
 
     async def attend(self, connection, peer, within=protocol.REQUEST_WITHIN):
         reason, served, connection.until = "closed", 0, trio.current_time() + within
@@ -233,7 +233,7 @@
         finally:
             self.peers.pop(connection, None)
             if reason == "carried":
-                self.carried.append(connection)
+                self.handed_over.append(connection)
             else:
                 self.lingering.pop(connection, None)
                 self.leaving.discard(connection)
--- a/juniperlanding/net/door.py
+++ b/juniperlanding/net/door.py
@@ -44,7 +44,7 @@
                 sock, peer = await self.listener.accept()
                 errors.succeeded()
             except OSError as error:
-                if errors.is_news(error, trio.current_time()):
+                if errors.should_log(error, trio.current_time()):
                     self.log("door", "cannot accept", why=described(error), **system(error).fields)
                 await trio.sleep(errors.pause(error))
                 continue
--- a/juniperlanding/net/endpoints.py
+++ b/juniperlanding/net/endpoints.py
@@ -16,21 +16,21 @@
 from juniperlanding.net import protocol
 from juniperlanding.net.counters import FORWARDS
 from juniperlanding.net.line import GONE, connect
-from juniperlanding.net.system_errors import NETWORK_ERRORS, RESOURCE_ERRORS, Backoff, is_local, name
+from juniperlanding.net.system_errors import NETWORK_ERRORS, RESOURCE_ERRORS, Backoff, errno_name, is_local
 
 NO_ROUTE_RETRY = 0.3  # seconds for which a connect without a route to the endpoint is retried
 FINAL_READ = 0.05  # seconds to read a response that had already arrived when its call was ended
 
 
 @dataclass(slots=True, eq=False)
-class Send:
+class PushAttempt:
     """One push: a notification within a call."""
 
     id: str
     number: int
     key: str = field(repr=False)
     body: bytes = field(repr=False)
-    until: int  # when its time-out expires
+    timeout_at: int  # when its time-out expires
     ttl_at: int
     leave_by: int  # its last byte must not leave after this
     zone: int = 0  # of its endpoint
@@ -40,32 +40,35 @@
     @property
     def write_deadline(self):
         """`leave_by`, or never when the time-out ends the call by then anyway."""
-        return self.leave_by if self.leave_by < self.until else 1 << 62
+        return self.leave_by if self.leave_by < self.timeout_at else 1 << 62
 
 
 class Call:
     """One request to an endpoint, from its start until the outcome of each of its pushes is known."""
 
-    def __init__(self, endpoint, sends, now):
-        self.endpoint, self.sends, self.scope = endpoint, sends, trio.CancelScope()
+    def __init__(self, endpoint, pushes, now):
+        self.endpoint, self.pushes, self.scope = endpoint, pushes, trio.CancelScope()
         self.began_at = now
         self.connect_tried = False  # whether a failure from here on is the endpoint's
         self.written = False  # whether the request was written to its last byte
-        self.line = None
+        self.connection = None
         self.deadline_watch = trio.CancelScope()  # of `watch_deadlines`
 
 
 class Endpoints:
     """Makes the calls to all endpoints, over connections that are kept open between calls.
 
-    told: receives the endpoint, the outcomes of a call's pushes, and the time at which they became known."""
+    on_outcomes: receives the endpoint, the outcomes of a call's pushes, and the time at which they became
+    known."""
 
-    def __init__(self, config, world, most_open, told, counters, log, may_leave=lambda endpoint, sends: True):
+    def __init__(
+        self, config, world, most_open, on_outcomes, counters, log, may_leave=lambda endpoint, pushes: True
+    ):
         self.may_leave = may_leave  # whether the last byte of a call with these pushes may leave
         self.now = world.clock.now
         self.network = world.network
         self.connection_limit = trio.Semaphore(most_open)
-        self.told = told
+        self.on_outcomes = on_outcomes
         self.counters = counters
         self.log = log
         self.connect_timeout = config.connect_within / SEC
@@ -73,39 +76,41 @@
         # Less than the endpoint's own idle time-out, since a request needs time to arrive.
         self.max_idle = idle_closes - idle_closes // TRANSIT_MARGIN_DIVISOR or 1 << 62
         self.report = config.report  # names of the load figures in responses
-        self.book = {}  # endpoint: address
+        self.addresses = {}  # endpoint: address
         self.idle = {}  # endpoint: open connections without a call, the one idle longest first
-        self.out = {}  # (notification id, push number): call
+        self.in_flight = {}  # (notification id, push number): call
         self.frozen = False
-        self.carried = []  # calls that are handed over to the process that takes over
+        self.handed_over = []  # calls that are handed over to the process that takes over
 
-    def start(self, nursery, endpoint, sends):
-        self.start_tasks(nursery, Call(endpoint, sends, self.now()))
+    def start(self, nursery, endpoint, pushes):
+        self.start_tasks(nursery, Call(endpoint, pushes, self.now()))
 
     def start_tasks(self, nursery, call):
-        for send in call.sends:
-            if not send.over:
-                self.out[send.id, send.number] = call
-        if len(call.sends) > 1:
+        for push in call.pushes:
+            if not push.over:
+                self.in_flight[push.id, push.number] = call
+        if len(call.pushes) > 1:
             nursery.start_soon(self.watch_deadlines, call)
         nursery.start_soon(self.run, call)
 
     def inherit(self, nursery, calls, idle):
-        """Takes over another process's calls (call, line) and its idle connections (endpoint, line)."""
-        for call, line in calls:
-            if self.admit_inherited(line):
-                call.line, call.connect_tried, call.written = line, True, True
+        """Takes over another process's calls and idle connections.
+
+        calls: (call, connection) of each; idle: (endpoint, connection)."""
+        for call, connection in calls:
+            if self.admit_inherited(connection):
+                call.connection, call.connect_tried, call.written = connection, True, True
                 self.start_tasks(nursery, call)
-        for endpoint, line in idle:
-            if self.admit_inherited(line):
-                self.idle.setdefault(endpoint, []).append(line)
+        for endpoint, connection in idle:
+            if self.admit_inherited(connection):
+                self.idle.setdefault(endpoint, []).append(connection)
 
-    def admit_inherited(self, line):
+    def admit_inherited(self, connection):
         """Counts a connection taken over from another process; closes it where the limit is reached."""
         try:
             self.connection_limit.acquire_nowait()
         except trio.WouldBlock:
-            line.close()
+            connection.close()
             return False
         return True
 
@@ -115,58 +120,63 @@
         Calls that are fully written, or will be shortly, are handed over; the others end without having
         run."""
         self.frozen = True
-        for call in set(self.out.values()):
+        for call in set(self.in_flight.values()):
             grace = 0 if call.written else steps.WRITE_OUT
             call.scope.deadline = min(call.scope.deadline, trio.current_time() + grace)
 
     def settled(self):
         """Whether only calls that are handed over are left."""
-        return len(set(self.out.values())) == len(self.carried)
+        return len(set(self.in_flight.values())) == len(self.handed_over)
 
     def cancel(self, ntf_id, number):
         """Stops waiting for one push; the call ends once all of its pushes are cancelled or over."""
-        if call := self.out.get((ntf_id, number)):
-            for send in call.sends:
-                send.cancelled |= send.id == ntf_id
-            if all(send.cancelled or send.over for send in call.sends):
+        if call := self.in_flight.get((ntf_id, number)):
+            for push in call.pushes:
+                push.cancelled |= push.id == ntf_id
+            if all(push.cancelled or push.over for push in call.pushes):
                 call.scope.cancel()
 
     def calls(self):
         """The calls in progress, each once."""
-        return set(self.out.values())
+        return set(self.in_flight.values())
 
     def recall(self, endpoints):
         """Cancels the calls to some endpoints that are not fully written.
 
         They would otherwise still arrive after a Retry-After wait or a drain became known."""
-        for call in set(self.out.values()):
+        for call in set(self.in_flight.values()):
             if call.endpoint in endpoints and not call.written:
-                for send in call.sends:
-                    send.cancelled = True
+                for push in call.pushes:
+                    push.cancelled = True
                 call.scope.cancel()
 
-    def move(self, endpoint):
+    def address_changed(self, endpoint):
         """The list has a new address for an endpoint: nothing more is sent over connections to the old one.
 
         Responses to fully written calls are still read."""
         self.close_idle(endpoint)
         self.recall({endpoint})
 
-    def has_old_address(self, endpoint, line):
+    def has_old_address(self, endpoint, connection):
         """Whether a connection goes to an earlier address of its endpoint."""
-        return line.address is not None and self.book.get(endpoint, line.address) != line.address
+        return (
+            connection.address is not None
+            and self.addresses.get(endpoint, connection.address) != connection.address
+        )
 
-    async def withdraw(self):
+    async def cancel_unsent(self):
         """As the process ends, cancels the calls not fully written, and waits until they are reported.
 
         A call that left while the process ends would be in the ledger as one that may have run: its once-only
         notification would be abandoned, whatever its outcome."""
-        self.recall({call.endpoint for call in self.out.values()})
-        while not all(call.written for call in self.out.values()):
+        self.recall({call.endpoint for call in self.in_flight.values()})
+        while not all(call.written for call in self.in_flight.values()):
             await trio.sleep(FINAL_READ / 10)
 
     async def run(self, call):
-        call.scope.deadline = trio.current_time() + (max(s.until for s in call.sends) - self.now()) / SEC
+        call.scope.deadline = (
+            trio.current_time() + (max(s.timeout_at for s in call.pushes) - self.now()) / SEC
+        )
         reason = "gave_up"
         try:
             with call.scope:
@@ -174,7 +184,7 @@
                     return
                 await self.read_answer(call)
                 reason = "answered"
-            if call.scope.cancelled_caught and call.written and not self.frozen and call.line.unheard():
+            if call.scope.cancelled_caught and call.written and not self.frozen and call.connection.unheard():
                 # If the process was suspended past the deadline, its first poll of the sockets returns no
                 # events (EINTR), so the call times out although a response has arrived.  Reads that response;
                 # the rest of a partial one is not waited for.
@@ -188,18 +198,18 @@
             self.log("fault", part="call", endpoint=call.endpoint, why=described(error), at_line=where(error))
         finally:
             call.deadline_watch.cancel()
-            if self.frozen and call.written and not all(send.cancelled or send.over for send in call.sends):
-                self.carried.append(call)
+            if self.frozen and call.written and not all(push.cancelled or push.over for push in call.pushes):
+                self.handed_over.append(call)
             else:
-                if call.line:
+                if call.connection:
                     if call.written:
                         # If the process was suspended just after the last byte, the response is still unread.
-                        call.line.head = call.line.arrived()
+                        call.connection.head = call.connection.arrived()
                     # While the network path is down, a closed connection would keep the request and deliver
                     # it once the path is back: after its repeat window, or in addition to another push.  A
                     # reset discards what has not been sent yet.
-                    call.line.abort()
-                    self.close_connection(call.endpoint, call.line, reason)
+                    call.connection.abort()
+                    self.close_connection(call.endpoint, call.connection, reason)
                 await self.finish_unanswered(call)
 
     def trio_time(self, time):
@@ -213,30 +223,30 @@
         breaks before the last byte says nothing about the endpoint either, so the request is written to
         another one.  Pushes that ended while a connection was being established are left out."""
         with trio.CancelScope() as write_scope:
-            while call.sends and not call.written:
-                write_scope.deadline = self.trio_time(max(send.write_deadline for send in call.sends))
-                call.line = await self.acquire_connection(call)
-                is_reused, now = call.line.used_at, self.now()
-                late = [send for send in call.sends if send.over or send.cancelled or send.leave_by <= now]
-                call.sends = [send for send in call.sends if send not in late]
-                await self.tell(call, [(send, "moot") for send in late])
+            while call.pushes and not call.written:
+                write_scope.deadline = self.trio_time(max(push.write_deadline for push in call.pushes))
+                call.connection = await self.acquire_connection(call)
+                is_reused, now = call.connection.used_at, self.now()
+                late = [push for push in call.pushes if push.over or push.cancelled or push.leave_by <= now]
+                call.pushes = [push for push in call.pushes if push not in late]
+                await self.report_outcomes(call, [(push, "moot") for push in late])
                 write_scope.deadline = self.trio_time(
-                    min((send.write_deadline for send in call.sends), default=now)
+                    min((push.write_deadline for push in call.pushes), default=now)
                 )
                 try:
-                    if call.sends:
-                        await call.line.send_in_two(
+                    if call.pushes:
+                        await call.connection.send_in_two(
                             *self.build_request(call), leaves=partial(self.before_last_byte, call)
                         )
                         call.written = True
-                        self.counters[FORWARDS] += len(call.sends)
+                        self.counters[FORWARDS] += len(call.pushes)
                         if self.frozen:
                             call.scope.cancel()
                 except GONE:
                     if not is_reused:
                         raise
-                    line, call.line = call.line, None
-                    self.close_connection(call.endpoint, line, "stale")
+                    connection, call.connection = call.connection, None
+                    self.close_connection(call.endpoint, connection, "stale")
         call.connect_tried &= call.written
         return call.written
 
@@ -248,9 +258,9 @@
         never sent."""
         if call.scope.cancel_called:
             return  # cancelled just now: the last byte will not be written
-        if not self.may_leave(call.endpoint, call.sends):
-            for send in call.sends:
-                send.cancelled = True
+        if not self.may_leave(call.endpoint, call.pushes):
+            for push in call.pushes:
+                push.cancelled = True
             call.scope.cancel()
 
     async def watch_deadlines(self, call):
@@ -258,71 +268,71 @@
 
         A push whose deadline passes while the call still connects must not be sent later."""
         deadlines = [
-            (time, index, send)
-            for index, send in enumerate(call.sends)
-            for time in (send.leave_by, send.ttl_at)
+            (time, index, push)
+            for index, push in enumerate(call.pushes)
+            for time in (push.leave_by, push.ttl_at)
         ]
         with call.deadline_watch:
-            for time, _, send in sorted(deadlines, key=lambda deadline: deadline[:2]):
+            for time, _, push in sorted(deadlines, key=lambda deadline: deadline[:2]):
                 await trio.sleep_until(self.trio_time(time))  # already past if the process was suspended
-                if not call.line:
-                    await self.tell(call, [(send, "moot")])
-                elif time >= send.ttl_at:
-                    await self.tell(call, [(send, "timeout")])
+                if not call.connection:
+                    await self.report_outcomes(call, [(push, "moot")])
+                elif time >= push.ttl_at:
+                    await self.report_outcomes(call, [(push, "timeout")])
 
     async def finish_unanswered(self, call):
         """Reports the pushes without a valid response; their outcome depends on how far the call got."""
         timed_out = call.scope.cancelled_caught
-        outcomes, single = [], len(call.sends) == 1
-        for send in call.sends:
-            if call.written and single and call.line and protocol.says_delivered(call.line.head):
-                outcomes.append((send, "delivered"))
+        outcomes, single = [], len(call.pushes) == 1
+        for push in call.pushes:
+            if call.written and single and call.connection and protocol.says_delivered(call.connection.head):
+                outcomes.append((push, "delivered"))
             elif call.written:
                 outcomes.append(
-                    (send, "cancelled" if send.cancelled else "timeout" if timed_out else "reset")
+                    (push, "cancelled" if push.cancelled else "timeout" if timed_out else "reset")
                 )
             else:
-                is_ours = send.cancelled or self.frozen
-                outcomes.append((send, "unreachable" if call.connect_tried and not is_ours else "moot"))
-        await self.tell(call, outcomes)
+                is_ours = push.cancelled or self.frozen
+                outcomes.append((push, "unreachable" if call.connect_tried and not is_ours else "moot"))
+        await self.report_outcomes(call, outcomes)
 
-    async def tell(self, call, outcomes, wait=0, report=None):
+    async def report_outcomes(self, call, outcomes, wait=0, report=None):
         """Reports the outcomes of a call's pushes, each push once.
 
         The outcome `over` (the endpoint wants no further push of the notification) is reported as `moot`."""
         now, new = self.now(), []
-        for send, outcome in outcomes:
-            if not send.over:
-                send.over = True
-                del self.out[send.id, send.number]
+        for push, outcome in outcomes:
+            if not push.over:
+                push.over = True
+                del self.in_flight[push.id, push.number]
                 is_final = outcome in ("delivered", "over")
                 outcome = "moot" if outcome == "over" else outcome
                 self.counters[f"pushes_{outcome}"] += 1
-                new.append((send.id, send.number, outcome, now - call.began_at, wait, is_final, report))
+                new.append((push.id, push.number, outcome, now - call.began_at, wait, is_final, report))
         if new:
             with trio.CancelScope(shield=True):
-                await self.told(call.endpoint, new, now)
+                await self.on_outcomes(call.endpoint, new, now)
 
     async def acquire_connection(self, call):
         """Returns an idle connection that can still be used, or a new one."""
         endpoint = call.endpoint
-        lines = self.idle.get(endpoint, [])
-        while lines:
-            line = lines.pop()
-            if self.now() - line.used_at < self.max_idle and line.quiet():
-                return line
-            self.close_connection(endpoint, line, "stale")
+        connections = self.idle.get(endpoint, [])
+        while connections:
+            connection = connections.pop()
+            if self.now() - connection.used_at < self.max_idle and connection.quiet():
+                return connection
+            self.close_connection(endpoint, connection, "stale")
         if not self.connection_limit.value:
             self.evict()
         # Waits at the limit: running out of connections here must not count as a failure of the endpoint.
         await self.connection_limit.acquire()
         try:
-            line = await self.connect(call)
+            connection = await self.connect(call)
         except BaseException:
             self.connection_limit.release()
             raise
         self.counters["connections_opened"] += 1
-        return line
+        return connection
 
     async def connect(self, call):
         """Opens a connection to a call's endpoint.
@@ -335,7 +345,7 @@
             call.connect_tried = True
             try:
                 with trio.fail_after(self.connect_timeout):
-                    return await connect(self.network, self.book[call.endpoint])
+                    return await connect(self.network, self.addresses[call.endpoint])
             except OSError as error:
                 no_route = error.errno in NETWORK_ERRORS and trio.current_time() > until
                 if no_route or not is_local(error):
@@ -346,7 +356,7 @@
     def handle_local_error(self, call, error):
         """A connect failed because of this machine, not the endpoint."""
         call.connect_tried = False
-        self.counters[f"connect_errors_{name(error)}"] += 1
+        self.counters[f"connect_errors_{errno_name(error)}"] += 1
         if error.errno in RESOURCE_ERRORS:
             self.evict()
 
@@ -355,31 +365,36 @@
 
         A request with a malformed response may have run, whatever the response says; but a status line with
         200 proves the delivery of a single notification."""
-        line = call.line
-        answer = await line.answer()
+        connection = call.connection
+        answer = await connection.answer()
         headers = dict(answer.headers)
         wait = protocol.wait(headers.get(protocol.RETRY, b""))
         report = protocol.report(headers.get(protocol.REPORT, b""), self.report)
-        is_batch = len(call.sends) > 1
+        is_batch = len(call.pushes) > 1
         if answer.status_code == 200 and not is_batch:
-            outcomes = [(call.sends[0], "delivered")]
-            if not line.whole():
-                await self.tell(call, outcomes, wait, report)
-                await line.rest(protocol.MOST_BODY)
+            outcomes = [(call.pushes[0], "delivered")]
+            if not connection.whole():
+                await self.report_outcomes(call, outcomes, wait, report)
+                await connection.rest(protocol.MOST_BODY)
         else:
-            body = await line.rest(protocol.MOST_BODY)
+            body = await connection.rest(protocol.MOST_BODY)
             if answer.status_code == 200:
                 outcomes = self.batch_outcomes(call, body)
             else:
                 outcome = self.outcome_of(answer.status_code, headers, is_batch)
-                if outcome == "throttled" and not wait and not line.used_at and not line.reusable():
+                if (
+                    outcome == "throttled"
+                    and not wait
+                    and not connection.used_at
+                    and not connection.reusable()
+                ):
                     # The endpoint is at its connection limit and rejects this new connection, not the
                     # request: for the decision module the connect failed.
                     outcome = "unreachable"
-                outcomes = [(send, outcome) for send in call.sends]
+                outcomes = [(push, outcome) for push in call.pushes]
         # Kept before the report, after which the decision module may ask to close idle connections.
         self.keep(call)
-        await self.tell(call, outcomes, wait, report)
+        await self.report_outcomes(call, outcomes, wait, report)
 
     @staticmethod
     def outcome_of(status, headers, is_batch):
@@ -399,14 +414,14 @@
             states = {item["id"]: protocol.BATCH_ENDS.get(item["state"]) for item in json.loads(body)}
         except (ValueError, TypeError, KeyError, RecursionError):
             raise h11.RemoteProtocolError("batch response is not a JSON list of ids and states") from None
-        return [(send, states.get(send.id) or "error") for send in call.sends]
+        return [(push, states.get(push.id) or "error") for push in call.pushes]
 
     def build_request(self, call):
         now = self.now()
-        time_left = str(max(0, max(send.until for send in call.sends) - now) // MS)
+        time_left = str(max(0, max(push.timeout_at for push in call.pushes) - now) // MS)
         headers = [("Host", "endpoint"), ("X-Expires-In-Ms", time_left)]
-        first = call.sends[0]
-        if len(call.sends) == 1:
+        first = call.pushes[0]
+        if len(call.pushes) == 1:
             target, body = protocol.ONE, first.body
             headers.append(("X-Trace-Id", first.id.encode("latin-1")))
             if first.key:
@@ -415,7 +430,7 @@
             target = protocol.MANY
             # Whoever tracks a batch by its first message ignores outcomes after that message's TTL; so the
             # one with the latest TTL comes first.
-            by_ttl = sorted(call.sends, key=lambda send: -send.ttl_at)
+            by_ttl = sorted(call.pushes, key=lambda push: -push.ttl_at)
             body = json.dumps(
                 [
                     {"id": s.id} | ({"key": s.key} if s.key else {}) | {"body": b64encode(s.body).decode()}
@@ -431,25 +446,27 @@
 
     def keep(self, call):
         """Keeps a call's connection open for the next call, if it can be reused."""
-        line, call.line = call.line, None
-        if not line.reusable() or self.has_old_address(call.endpoint, line):
-            return self.close_connection(call.endpoint, line, "not_kept")
-        line.next()
-        line.used_at = self.now()
-        self.idle.setdefault(call.endpoint, []).append(line)
-
-    def close_connection(self, endpoint, line, reason):
-        line.close()
+        connection, call.connection = call.connection, None
+        if not connection.reusable() or self.has_old_address(call.endpoint, connection):
+            return self.close_connection(call.endpoint, connection, "not_kept")
+        connection.next()
+        connection.used_at = self.now()
+        self.idle.setdefault(call.endpoint, []).append(connection)
+
+    def close_connection(self, endpoint, connection, reason):
+        connection.close()
         self.connection_limit.release()
         self.log("conn", endpoint=endpoint, end=reason)
 
     def close_idle(self, endpoint):
-        for line in self.idle.pop(endpoint, []):
-            self.close_connection(endpoint, line, "asked")
+        for connection in self.idle.pop(endpoint, []):
+            self.close_connection(endpoint, connection, "asked")
 
     def evict(self):
         """Closes the connection that has been idle longest, to free a socket; False when none is idle."""
-        idle = [(lines[0].used_at, endpoint) for endpoint, lines in self.idle.items() if lines]
+        idle = [
+            (connections[0].used_at, endpoint) for endpoint, connections in self.idle.items() if connections
+        ]
         if idle:
             _, endpoint = min(idle)
             self.close_connection(endpoint, self.idle[endpoint].pop(0), "no_sockets")
@@ -459,10 +476,10 @@
         """Closes idle connections that the endpoint has closed or is about to close, once a second."""
         while True:
             await trio.sleep(1)
-            for endpoint, lines in list(self.idle.items()):
-                for line in list(lines):
-                    if self.now() - line.used_at >= self.max_idle or not line.quiet():
-                        lines.remove(line)
-                        self.close_connection(endpoint, line, "stale")
-                if not lines:
+            for endpoint, connections in list(self.idle.items()):
+                for connection in list(connections):
+                    if self.now() - connection.used_at >= self.max_idle or not connection.quiet():
+                        connections.remove(connection)
+                        self.close_connection(endpoint, connection, "stale")
+                if not connections:
                     del self.idle[endpoint]
--- a/juniperlanding/net/ledger.py
+++ b/juniperlanding/net/ledger.py
@@ -32,9 +32,9 @@
 
 FILE = "ledger"
 MANIFEST = "shards"
-FULL = 3  # eighths of the disk limit that pending notifications may take
-WASTE = 4  # eighths of the disk limit at which the file is compacted
-OVER = 16  # ids of ended notifications may take 1/OVER of the disk limit
+PENDING_EIGHTHS = 3  # eighths of the disk limit that pending notifications may take
+FILE_EIGHTHS = 4  # eighths of the disk limit at which the file is compacted
+ENDED_SHARE = 16  # ids of ended notifications may take 1/ENDED_SHARE of the disk limit
 ENDED_ID_OVERHEAD = 64  # bytes that an ended notification takes until its TTL, besides its id
 LATER_RECORDS_SIZE = 512  # bytes reserved for a notification's records after the first: pushes and end
 CLOCK_RECORD_INTERVAL = 1_000_000_000  # ns; a reboot extends a TTL by this much at most
@@ -73,7 +73,7 @@
 
 
 @dataclass(slots=True)
-class Owed:
+class PendingNotification:
     """A pending notification, as recorded in the ledger."""
 
     id: str
@@ -83,46 +83,47 @@
     key: str = field(repr=False)  # its idempotency key
     body: bytes = field(repr=False)
     pushes: int = 0
-    ran: dict = field(default_factory=dict)  # number: (zone, sent_at) of each push that may have run
-    left: bool = False  # whether any push of it was sent
+    # Number: (zone, sent_at) of each push that may have run.
+    possible_runs: dict = field(default_factory=dict)
+    was_sent: bool = False  # whether any push of it was sent
     notice: tuple = ()
     size: int = 0
-    under: int = 0  # number of the policy under which it was accepted
-    turn: str = ""  # its ordering key
+    policy_number: int = 0  # number of the policy under which it was accepted
+    ordering_key: str = ""
 
     def records(self):
         """Yields the records that restore it."""
         body = b64encode(self.body).decode()
-        policy = [self.under] if self.under else []
+        policy = [self.policy_number] if self.policy_number else []
         yield ["t", self.id, self.topic, self.destination, self.ttl_at, self.key, body, *policy]
-        if self.turn:
-            yield ["k", self.id, self.turn]
+        if self.ordering_key:
+            yield ["k", self.id, self.ordering_key]
         last = self.pushes - 1
-        for number in [*self.ran, *({last} - set(self.ran) if self.left else ())]:
-            yield ["p", self.id, number, *self.ran.get(number, (0, 0))]
-        if self.pushes and last not in self.ran:
+        for number in [*self.possible_runs, *({last} - set(self.possible_runs) if self.was_sent else ())]:
+            yield ["p", self.id, number, *self.possible_runs.get(number, (0, 0))]
+        if self.pushes and last not in self.possible_runs:
             yield ["n", self.id, last]
         if self.notice:
             yield ["o", self.id, *self.notice]
 
 
-class Books:
+class LedgerState:
     """The state that the records read so far add up to."""
 
     def __init__(self, files=None):
         self.files = files or Files()
-        self.owed = {}  # id: Owed
-        self.owed_size = 0
-        self.skipped = 0  # lines that are not one valid record
+        self.notifications = {}  # id: PendingNotification
+        self.pending_size = 0
+        self.invalid_lines = 0  # lines that are not one valid record
         self.damaged = 0  # the same without the last line, which a kill may have cut off
         # id: TTL of each ended notification, so that one submitted again after a restart does not run twice.
-        self.over = {}
-        self.over_size = 0
-        self.most_over = 1 << 62
+        self.ended = {}
+        self.ended_size = 0
+        self.max_ended_size = 1 << 62
         self.stamp = None  # the latest recorded reading of the clock that these times refer to
         self.damaged_size = 0  # bytes of damaged lines met so far
-        self.whole_size = 0  # bytes of the file without a partial record at its end
-        self.not_rewritten = None  # the OSError that kept a start from compacting the file
+        self.complete_size = 0  # bytes of the file without a partial record at its end
+        self.rewrite_error = None  # the OSError that kept a start from compacting the file
 
     def load(self, path):
         try:
@@ -132,7 +133,7 @@
         except OSError as error:
             raise Unreadable(error.errno, error.strerror or str(error), str(path)) from None
         lines = content.split(b"\n")
-        self.whole_size = len(content) - len(lines[-1])
+        self.complete_size = len(content) - len(lines[-1])
         numbered = iter(enumerate(lines, 1))
         for number, raw in numbered:
             try:
@@ -150,7 +151,7 @@
         line was read together with it."""
         raw = lines[number - 1]
         is_last = number == len(lines)
-        self.skipped += 1
+        self.invalid_lines += 1
         self.damaged += not is_last
         self.damaged_size += len(raw)
         is_record_before_a_byte = is_last and not is_valid(raw) and is_valid(raw[:-1])
@@ -184,16 +185,16 @@
         apply to a last line that a kill cut off: what it describes has not been sent, since records are
         written first."""
         number, unknown = UNKNOWN_PUSH
-        for owed in self.owed.values():
-            if not owed.ran:
-                owed.ran[number] = unknown
-                owed.left = True
+        for notification in self.notifications.values():
+            if not notification.possible_runs:
+                notification.possible_runs[number] = unknown
+                notification.was_sent = True
 
-    def add(self, owed, size):
+    def add(self, notification, size):
         """Counts the size of the written record: an overestimate would reject work while there is room."""
-        owed.size = size + LATER_RECORDS_SIZE
-        self.owed[owed.id] = owed
-        self.owed_size += owed.size
+        notification.size = size + LATER_RECORDS_SIZE
+        self.notifications[notification.id] = notification
+        self.pending_size += notification.size
 
     def apply(self, record, size=0):
         kind, subject, *rest = record  # subject: the notification's id; of `c`, the machine's boot id
@@ -203,25 +204,27 @@
             return self.remember(subject, int(rest[0]))
         if kind == "t":
             topic, destination, ttl_at, key, body, *policy = rest
-            owed = Owed(subject, topic, destination, ttl_at, key, b64decode(body), under=sum(policy))
-            return self.add(owed, size)
-        owed = self.owed.get(subject)
-        if owed is None:
+            notification = PendingNotification(
+                subject, topic, destination, ttl_at, key, b64decode(body), policy_number=sum(policy)
+            )
+            return self.add(notification, size)
+        notification = self.notifications.get(subject)
+        if notification is None:
             return
         if kind == "p":
-            owed.pushes, owed.left = max(owed.pushes, rest[0] + 1), True
-            owed.ran[rest[0]] = tuple(rest[1:])
+            notification.pushes, notification.was_sent = max(notification.pushes, rest[0] + 1), True
+            notification.possible_runs[rest[0]] = tuple(rest[1:])
         elif kind == "k":
-            owed.turn = rest[0]
+            notification.ordering_key = rest[0]
         elif kind == "n":
-            owed.pushes = max(owed.pushes, rest[0] + 1)
-            owed.ran.pop(rest[0], None)
+            notification.pushes = max(notification.pushes, rest[0] + 1)
+            notification.possible_runs.pop(rest[0], None)
         elif kind == "o":
-            owed.notice = tuple(rest)
+            notification.notice = tuple(rest)
         elif kind in ("e", "x"):
-            self.owed_size -= self.owed.pop(subject).size
+            self.pending_size -= self.notifications.pop(subject).size
             if kind == "e":
-                self.remember(subject, owed.ttl_at)
+                self.remember(subject, notification.ttl_at)
             else:
                 self.forget(subject)
 
@@ -236,7 +239,11 @@
 
     def latest_time(self):
         """The latest time that the records mention."""
-        sent_times = [sent_at for owed in self.owed.values() for _, sent_at in owed.ran.values()]
+        sent_times = [
+            sent_at
+            for notification in self.notifications.values()
+            for _, sent_at in notification.possible_runs.values()
+        ]
         return max(self.stamp.now, *sent_times, 0)
 
     def resume(self, clock):
@@ -246,27 +253,29 @@
 
     def shift_times(self, span):
         """Adds a span to all deadlines; the times at which pushes began become unknown."""
-        for owed in self.owed.values():
-            owed.ttl_at += span
-            owed.ran = {number: (zone, UNKNOWN_SENT_AT) for number, (zone, _) in owed.ran.items()}
-        self.over = {ntf_id: ttl_at + span for ntf_id, ttl_at in self.over.items()}
+        for notification in self.notifications.values():
+            notification.ttl_at += span
+            notification.possible_runs = {
+                number: (zone, UNKNOWN_SENT_AT) for number, (zone, _) in notification.possible_runs.items()
+            }
+        self.ended = {ntf_id: ttl_at + span for ntf_id, ttl_at in self.ended.items()}
 
     def remember(self, ntf_id, ttl_at):
         """Remembers an ended notification; over the size limit, the one that ended first is forgotten."""
         self.forget(ntf_id)
-        self.over[ntf_id] = ttl_at
-        self.over_size += ENDED_ID_OVERHEAD + len(ntf_id)
-        while self.over_size > self.most_over:
-            self.forget(next(iter(self.over)))
+        self.ended[ntf_id] = ttl_at
+        self.ended_size += ENDED_ID_OVERHEAD + len(ntf_id)
+        while self.ended_size > self.max_ended_size:
+            self.forget(next(iter(self.ended)))
 
     def forget(self, ntf_id):
         """Forgets an ended notification, once its TTL has passed."""
-        if ntf_id in self.over:
-            del self.over[ntf_id]
-            self.over_size -= ENDED_ID_OVERHEAD + len(ntf_id)
+        if ntf_id in self.ended:
+            del self.ended[ntf_id]
+            self.ended_size -= ENDED_ID_OVERHEAD + len(ntf_id)
 
 
-def whole(files, folder):
+def check_not_split(files, folder):
     """Raises `Split` for a folder whose ledger is in several files."""
     path = f"{folder}/{MANIFEST}"
     with suppress(FileNotFoundError):
@@ -274,7 +283,7 @@
         raise Split(errno.EBUSY, "the ledger is in several files, and shards are disabled", path)
 
 
-class Stamps:
+class ClockRecords:
     """Clock records for ledger files: one at the start of each, then one a second while records are written.
 
     clock: the process's; None writes no clock records, as earlier versions did."""
@@ -297,7 +306,7 @@
             self.due_at = self.clock.now() + CLOCK_RECORD_INTERVAL
 
 
-class Ledger(Books):
+class Ledger(LedgerState):
     """The state, with the open file that every change is appended to.
 
     inherited: another process of this dispatcher closed the file cleanly and may take it back, so the file is
@@ -305,85 +314,85 @@
 
     def __init__(self, folder, disk, files=None, inherited=False, clock=None):
         super().__init__(files)
-        self.stamps = Stamps(clock)
+        self.clock_records = ClockRecords(clock)
         self.path = f"{folder}/{FILE}"
-        self.most_owed = disk * FULL // 8
-        self.most_file = disk * WASTE // 8
-        self.most_over = disk // OVER
-        self.pending = []  # encoded records that are not written yet
+        self.max_pending_size = disk * PENDING_EIGHTHS // 8
+        self.max_file_size = disk * FILE_EIGHTHS // 8
+        self.max_ended_size = disk // ENDED_SHARE
+        self.unwritten = []  # encoded records that are not written yet
         self.file = -1
         self.file_size = 0
-        self.torn = False  # whether a partial record may be at the end of the file
+        self.has_partial_record = False  # whether a partial record may be at the end of the file
         self.load(self.path)
         self.resume(clock)
         if inherited:
-            self.go_on()
+            self.open_for_append()
             return
         try:
             self.compact()
         except OSError as error:
-            self.not_rewritten = error
-            self.go_on()
+            self.rewrite_error = error
+            self.open_for_append()
 
-    def go_on(self):
+    def open_for_append(self):
         """Opens the existing file for appending; a partial record at its end is cut off before a write."""
         self.file, self.file_size = self.files.open(self.path), self.files.size(self.path)
-        self.torn = self.whole_size < self.file_size
-        self.file_size = min(self.whole_size, self.file_size)
+        self.has_partial_record = self.complete_size < self.file_size
+        self.file_size = min(self.complete_size, self.file_size)
 
-    def take(self, *fields, under=0):
-        """Adds an accepted notification; `fields` are those of `Owed` up to the body."""
-        owed = Owed(*fields, under=under)
-        self.pending.append(line(next(owed.records())))
-        self.add(owed, len(self.pending[-1]))
+    def add_accepted(self, *fields, policy_number=0):
+        """Adds an accepted notification; `fields` are those of `PendingNotification` up to the body."""
+        notification = PendingNotification(*fields, policy_number=policy_number)
+        self.unwritten.append(line(next(notification.records())))
+        self.add(notification, len(self.unwritten[-1]))
 
-    def write(self, *record):
+    def append_record(self, *record):
         self.apply(record)
-        self.pending.append(line(record))
+        self.unwritten.append(line(record))
 
-    def replace_end(self, ntf_id, *outcome):
+    def replace_outcome(self, ntf_id, *outcome):
         """Replaces the recorded outcome of a notification while that record is still unwritten.
 
         If the second outcome were written after the first, a kill during the write could leave the first one
         alone in the file."""
-        self.drop_pending(line(["o", ntf_id, *self.owed[ntf_id].notice]))
-        self.write("o", ntf_id, *outcome)
+        self.discard_unwritten(line(["o", ntf_id, *self.notifications[ntf_id].notice]))
+        self.append_record("o", ntf_id, *outcome)
 
-    def drop_pending(self, raw):
+    def discard_unwritten(self, raw):
         """Discards an unwritten record."""
-        self.pending = [one for one in self.pending if one != raw]
+        self.unwritten = [one for one in self.unwritten if one != raw]
 
-    def room(self, size):
+    def has_room(self, size):
         """Whether a notification with a body of this size still fits."""
-        return self.owed_size + 2 * size + 2 * LATER_RECORDS_SIZE <= self.most_owed
+        return self.pending_size + 2 * size + 2 * LATER_RECORDS_SIZE <= self.max_pending_size
 
     def flush(self):
         """Writes the buffered records; on an error they stay buffered, and the file is as before."""
-        if not self.pending:
+        if not self.unwritten:
             return
-        data = self.stamps.due() + b"".join(self.pending)
-        if self.file_size + len(data) > self.most_file:
+        data = self.clock_records.due() + b"".join(self.unwritten)
+        if self.file_size + len(data) > self.max_file_size:
             self.compact()  # the buffered records are already applied, so the new file includes them
         else:
-            self.file_size += self.added(data)
-            self.stamps.written()
-        self.pending.clear()
+            self.file_size += self.append(data)
+            self.clock_records.written()
+        self.unwritten.clear()
 
-    def added(self, data):
+    def append(self, data):
         """Appends data to the file; returns its size.
 
         A failed write may leave a partial record, which would make the next one unreadable as well.  It is
         truncated at once or, where that fails too, before the next write."""
-        if self.torn:
-            self.cut_off()
+        if self.has_partial_record:
+            self.truncate_partial()
         view = memoryview(data)
         try:
             while view:
                 view = view[self.write_some(self.file, view) :]
-                self.torn = bool(view)
+                self.has_partial_record = bool(view)
         except OSError:
-            if self.torn:
-                self.cut_off()
+            if self.has_partial_record:
+                self.truncate_partial()
             raise
         return len(data)
 
@@ -394,10 +403,10 @@
             raise OSError(errno.EIO, "write returned 0 bytes")
         return size
 
-    def cut_off(self):
+    def truncate_partial(self):
         """Truncates a partial record at the end of the file."""
         self.files.truncate(self.file, self.file_size)
-        self.torn = False
+        self.has_partial_record = False
 
     def write_all(self, file, data):
         view = memoryview(data)
@@ -411,23 +420,23 @@
         size = 0
         file = self.files.open(new_path, fresh=True)
         try:
-            if self.owed or self.over:
-                size += self.write_all(file, self.stamps.line())
-            for owed in self.owed.values():
-                size += self.write_all(file, b"".join(map(line, owed.records())))
-            ended = b"".join(line(["d", *entry]) for entry in self.over.items())
+            if self.notifications or self.ended:
+                size += self.write_all(file, self.clock_records.line())
+            for notification in self.notifications.values():
+                size += self.write_all(file, b"".join(map(line, notification.records())))
+            ended = b"".join(line(["d", *entry]) for entry in self.ended.items())
             size += self.write_all(file, ended)
             self.files.rename(new_path, self.path)
         except OSError:
             with suppress(OSError):  # the incomplete copy would take up space that the ledger itself needs
                 self.files.truncate(file, 0)
-            self.let_go(file)
+            self.close_file(file)
             raise
-        old, self.file, self.file_size, self.torn = self.file, file, size, False
+        old, self.file, self.file_size, self.has_partial_record = self.file, file, size, False
         if old >= 0:
-            self.let_go(old)
+            self.close_file(old)
 
-    def let_go(self, file):
+    def close_file(self, file):
         """Closes a file; the descriptor is released even if close fails."""
         with suppress(OSError):
             self.files.close(file)
@@ -438,5 +447,5 @@
             try:
                 self.flush()
             finally:
-                self.let_go(self.file)
+                self.close_file(self.file)
                 self.file = -1
--- a/juniperlanding/net/node.py
+++ b/juniperlanding/net/node.py
@@ -159,11 +159,11 @@
             "start",
             listening="{}:{}".format(*listener.address),
             endpoints=len(known),
-            owed=len(self.ledger.owed),
-            torn_records=self.ledger.skipped,
+            owed=len(self.ledger.notifications),
+            torn_records=self.ledger.invalid_lines,
         )
-        if self.ledger.not_rewritten:
-            error = self.ledger.not_rewritten
+        if self.ledger.rewrite_error:
+            error = self.ledger.rewrite_error
             fields = system(error).fields
             self.log("ledger", "not rewritten at the start, goes on", why=described(error), **fields)
         if self.ledger.damaged:
@@ -228,7 +228,7 @@
 
     def load(self):
         """The load that is reported to other dispatchers: (pending notifications, pushes in flight)."""
-        return len(self.ledger.owed), self.decision_loop.dispatcher.state.slots_out
+        return len(self.ledger.notifications), self.decision_loop.dispatcher.state.slots_out
 
     def check_ready(self):
         if self.replaced:
@@ -312,7 +312,9 @@
                 self.stops_at = self.world.clock.now() + int(time_limit * SEC)
                 await self.decision_loop.enqueue(self.decision_loop.dispatcher.plan_stop, self.stops_at)
             while not self.replaced and (
-                self.clients.open or self.ledger.owed or trio.current_time() < began + protocol.PATIENCE
+                self.clients.open
+                or self.ledger.notifications
+                or trio.current_time() < began + protocol.PATIENCE
             ):
                 if trio.current_time() > began + protocol.KILL_AFTER - protocol.PATIENCE:
                     self.clients.drain()
@@ -334,7 +336,7 @@
         await self.clients.close(self.listener)  # on a loaded machine the call above may not have got to it
         await self.decision_loop.enqueue(self.decision_loop.stop_loop)
         await self.decision_loop.loop_stopped.wait()
-        await self.decision_loop.endpoints.withdraw()
+        await self.decision_loop.endpoints.cancel_unsent()
 
     async def send_last_answers(self):
         """Accept what waits in the backlog, close the listener, and wait until every client has its answer.
@@ -366,8 +368,10 @@
                 "stop",
                 "the last records could not be written",
                 why=described(error),
-                records=len(self.ledger.pending),
+                records=len(self.ledger.unwritten),
                 **system(error).fields,
             )
-        self.log("stop", "what is owed stays in the ledger", owed=len(self.ledger.owed), **self.counters)
-        return not self.ledger.pending
+        self.log(
+            "stop", "what is owed stays in the ledger", owed=len(self.ledger.notifications), **self.counters
+        )
+        return not self.ledger.unwritten
--- a/juniperlanding/net/owner.py
+++ b/juniperlanding/net/owner.py
@@ -14,7 +14,7 @@
 from juniperlanding.ground.log import described, where
 from juniperlanding.net import protocol
 from juniperlanding.net.counters import ABORTED, DECLINED, SUCCEEDED
-from juniperlanding.net.endpoints import Send
+from juniperlanding.net.endpoints import PushAttempt
 from juniperlanding.net.trace import Trace
 
 MAX_EVENTS_PER_ITERATION = 256  # events taken in one iteration at most
@@ -119,7 +119,7 @@
         types = self.topic_types_by_policy.get(number, settings["topic_types"])
         self.dispatcher.update_settings(settings | {"topic_types": types})
         self.policy_number, self.topics = number, self.topic_indexes()
-        needed = {owed.under for owed in self.ledger.owed.values()} | {0}
+        needed = {notification.policy_number for notification in self.ledger.notifications.values()} | {0}
         self.topic_types_by_policy = {
             one: kept for one, kept in self.topic_types_by_policy.items() if one in needed
         } | {number: types}
@@ -127,9 +127,12 @@
     def has_lease_for(self, policy_number):
         return self.lease is None or self.lease.holds() == policy_number
 
-    def settings_for(self, owed):
+    def settings_for(self, notification):
         """The settings with the topic types that were in force when a notification was accepted."""
-        settings, types = self.dispatcher.state.settings, self.topic_types_by_policy.get(owed.under)
+        settings, types = (
+            self.dispatcher.state.settings,
+            self.topic_types_by_policy.get(notification.policy_number),
+        )
         return settings | {"topic_types": types} if types else settings
 
     # ---- the decision loop
@@ -141,14 +144,14 @@
         if not (offer and self.inherit(offer)):
             self.dispatcher.start()
             self.guarded(self.on_list_news, "cached", known)
-        for owed in list(self.ledger.owed.values()):
-            self.guarded(self.restore, owed)
-        for ntf_id in state.notifications.keys() - self.ledger.owed.keys():
+        for notification in list(self.ledger.notifications.values()):
+            self.guarded(self.restore, notification)
+        for ntf_id in state.notifications.keys() - self.ledger.notifications.keys():
             self.guarded(self.dispatcher.withdraw, ntf_id)
-        for ntf_id, number in state.pushes.keys() - self.endpoints.out.keys():
+        for ntf_id, number in state.pushes.keys() - self.endpoints.in_flight.keys():
             # Its connection was not handed over.
             self.guarded(self.dispatcher.outcome, ntf_id, number, "reset")
-        for ntf_id, ttl_at in list(self.ledger.over.items()):
+        for ntf_id, ttl_at in list(self.ledger.ended.items()):
             self.known_ids.add(ntf_id)
             self.call_at(max(ttl_at, self.dispatcher.now) + END_GRACE, self.check_after_ttl, ntf_id)
         self.ready = True
@@ -166,7 +169,7 @@
             offer.drop_calls()
             return False
         for *entry, host, port in offer.state["entries"]:
-            self.entries[entry[0]], self.endpoints.book[entry[0]] = tuple(entry), (host, port)
+            self.entries[entry[0]], self.endpoints.addresses[entry[0]] = tuple(entry), (host, port)
         self.endpoints.inherit(self.nursery, offer.calls(), offer.idle())
         self.discovery.inherit(offer.state["revision"], offer.state["discovery"])
         self.discovery.subscribe(offer.state["following"])
@@ -174,34 +177,39 @@
             self.timer(at - self.dispatcher.now, at)
         return True
 
-    def restore(self, owed):
+    def restore(self, notification):
         """Give the module what an earlier process accepted, or post its notice again."""
         self.counters["restored"] += 1
-        self.known_ids.add(owed.id)
-        self.call_at(max(owed.ttl_at, self.dispatcher.now) + END_GRACE, self.check_after_ttl, owed.id)
-        if owed.notice:
+        self.known_ids.add(notification.id)
+        self.call_at(
+            max(notification.ttl_at, self.dispatcher.now) + END_GRACE, self.check_after_ttl, notification.id
+        )
+        if notification.notice:
             self.counters["notices_due"] += 1
-            return self.notices_due.append((owed.id, *owed.notice))
-        self.unfinished[owed.id] = None
-        if owed.id in self.dispatcher.state.notifications:
+            return self.notices_due.append((notification.id, *notification.notice))
+        self.unfinished[notification.id] = None
+        if notification.id in self.dispatcher.state.notifications:
             return  # handed over with all that the module knows of it
-        if owed.ttl_at <= self.dispatcher.now:
+        if notification.ttl_at <= self.dispatcher.now:
             # The earlier process may have reported this end without being able to write it; any other
             # outcome now would contradict it.
-            return self.expired(owed.id)
-        first_run = min(owed.ran.values(), key=lambda ran: ran[1], default=(0, 0))
-        current, self.dispatcher.state.settings = self.dispatcher.state.settings, self.settings_for(owed)
+            return self.expired(notification.id)
+        first_run = min(notification.possible_runs.values(), key=lambda ran: ran[1], default=(0, 0))
+        current, self.dispatcher.state.settings = (
+            self.dispatcher.state.settings,
+            self.settings_for(notification),
+        )
         try:
             self.dispatcher.notification(
-                owed.id,
-                self.topic_indexes().get(owed.topic, len(self.topics)),
-                owed.destination,
-                ttl_at=owed.ttl_at,
-                key=owed.turn,
-                pushes=owed.pushes,
+                notification.id,
+                self.topic_indexes().get(notification.topic, len(self.topics)),
+                notification.destination,
+                ttl_at=notification.ttl_at,
+                key=notification.ordering_key,
+                pushes=notification.pushes,
                 ran_zone=first_run[0],
                 ran_at=first_run[1],
-                never_sent=not owed.left,
+                never_sent=not notification.was_sent,
             )
         finally:
             self.dispatcher.state.settings = current
@@ -248,7 +256,7 @@
         self.loop_stopped.set()
 
     def is_quiescent(self):
-        if self.ledger.pending:
+        if self.ledger.unwritten:
             return False  # the new process reads the ledger from the folder
         queue = self.event_receiver.statistics()
         idle = not queue.current_buffer_used and not queue.tasks_waiting_send
@@ -304,20 +312,20 @@
                 self.counters["ledger_errors"] += 1
         self.ledger.flush()
 
-    def may_leave(self, endpoint, sends):
+    def may_leave(self, endpoint, pushes):
         """Between iterations: whether the last byte of a call may leave, once the ledger has its record.
 
         Writing may take long, and the process may have been suspended since the call began, so the time for
         the verdict is read last."""
-        if not self.record_sends(sends):
+        if not self.record_sends(pushes):
             return False
         now = self.now()
-        verdicts = [rules.may_send(self.send_facts(endpoint, send), now) for send in sends]
-        for send, verdict in zip(sends, verdicts, strict=True):
+        verdicts = [rules.may_send(self.send_facts(endpoint, push), now) for push in pushes]
+        for push, verdict in zip(pushes, verdicts, strict=True):
             if not verdict.is_allowed:
-                self.trace.withheld(send.id, send.number, verdict.reason)
+                self.trace.withheld(push.id, push.number, verdict.reason)
                 if verdict.reason in rules.NOT_RECALLED_REASONS:
-                    self.trace.violation(rules.Rule.SEND, send.id, reason=verdict.reason, endpoint=endpoint)
+                    self.trace.violation(rules.Rule.SEND, push.id, reason=verdict.reason, endpoint=endpoint)
         return all(verdict.is_allowed for verdict in verdicts)
 
     def in_service(self, call):
@@ -325,13 +333,13 @@
         endpoint = self.dispatcher.state.endpoints.get(call.endpoint)
         return endpoint is not None and endpoint.state == "ready"
 
-    def send_facts(self, endpoint, send):
+    def send_facts(self, endpoint, push):
         """What `rules.may_send` asks of one message of a call."""
-        notification = self.dispatcher.state.notifications.get(send.id)
+        notification = self.dispatcher.state.notifications.get(push.id)
         listed = self.dispatcher.state.endpoints.get(endpoint)
         return rules.SendFacts(
-            is_pending=send.id in self.unfinished and notification is not None and not send.over,
-            deadline=send.ttl_at,
+            is_pending=push.id in self.unfinished and notification is not None and not push.over,
+            deadline=push.ttl_at,
             may_have_run=notification is not None and notification.may_have_run is not None,
             is_once_only=notification is not None and notification.topic.get("kind") == "once-only",
             repeats_until=repeats_until(notification) if notification else 0,
@@ -339,14 +347,14 @@
             wait_until=self.retry_after_until.get(endpoint, 0),
         )
 
-    def record_sends(self, sends):
+    def record_sends(self, pushes):
         """Record in the ledger that these pushes may have run; whether it could be written, else none may
         leave."""
         now = self.now()
         if not self.ledger_failing:
-            for send in sends:
-                if send.id in self.ledger.owed:
-                    self.ledger.write("p", send.id, send.number, send.zone, now)
+            for push in pushes:
+                if push.id in self.ledger.notifications:
+                    self.ledger.append_record("p", push.id, push.number, push.zone, now)
             self.flush_ledger()
         return not self.ledger_failing
 
@@ -362,12 +370,12 @@
         }
         if not unleased:
             return
-        for key, sends in self.new_calls.items():
-            for send in [send for send in sends if send.id in unleased]:
-                self.guarded(self.dispatcher.outcome, send.id, send.number, "moot")
-            self.new_calls[key] = [send for send in sends if send.id not in unleased]
+        for key, pushes in self.new_calls.items():
+            for push in [push for push in pushes if push.id in unleased]:
+                self.guarded(self.dispatcher.outcome, push.id, push.number, "moot")
+            self.new_calls[key] = [push for push in pushes if push.id not in unleased]
         for ntf_id in unleased:
-            self.counters.count_result(self.ledger.owed[ntf_id].topic, DECLINED)
+            self.counters.count_result(self.ledger.notifications[ntf_id].topic, DECLINED)
             self.undo_acceptance(ntf_id)
         # An id that came twice in this iteration has two answers.
         rejected = [answer for answer in self.answers_due if answer.ntf_id in unleased]
@@ -387,14 +395,14 @@
 
     def undo_iteration(self):
         """Undo what this iteration accepted and asked for, as none of it has started yet."""
-        for send in [send for sends in self.new_calls.values() for send in sends]:
-            self.guarded(self.dispatcher.outcome, send.id, send.number, "moot")
+        for push in [push for pushes in self.new_calls.values() for push in pushes]:
+            self.guarded(self.dispatcher.outcome, push.id, push.number, "moot")
         self.new_calls.clear()
         for answer in self.answers_due:
             if self.unfinished.get(answer.ntf_id) is answer:
                 # If a partial write cannot be cut off, it may be sent after a kill: 500 promises nothing.
-                answer.status, result = (500, ABORTED) if self.ledger.torn else (503, DECLINED)
-                self.counters.count_result(self.ledger.owed[answer.ntf_id].topic, result)
+                answer.status, result = (500, ABORTED) if self.ledger.has_partial_record else (503, DECLINED)
+                self.counters.count_result(self.ledger.notifications[answer.ntf_id].topic, result)
                 self.undo_acceptance(answer.ntf_id)
             else:
                 answer.status = 503
@@ -428,9 +436,9 @@
     def execute_requests(self):
         for answer in self.answers_due:
             answer.ready.set()
-        for (endpoint, _), sends in self.new_calls.items():
-            if sends:
-                self.endpoints.start(self.nursery, endpoint, sends)
+        for (endpoint, _), pushes in self.new_calls.items():
+            if pushes:
+                self.endpoints.start(self.nursery, endpoint, pushes)
         for ntf_id, number in self.cancels_due:
             self.endpoints.cancel(ntf_id, number)
         for notice in self.take_postable_notices():
@@ -448,11 +456,11 @@
                 function, fields = self.event_receiver.receive_nowait()
                 if function != self.submit:  # its client gets no answer any more, so nothing is pending
                     self.guarded(function, *fields)
-        for call in set(self.endpoints.out.values()):
-            if call.written and call.line and len(call.sends) == 1:
-                if protocol.says_delivered(call.line.arrived()):
-                    send = call.sends[0]
-                    outcomes = [(send.id, send.number, "delivered", now - call.began_at, 0, True, None)]
+        for call in set(self.endpoints.in_flight.values()):
+            if call.written and call.connection and len(call.pushes) == 1:
+                if protocol.says_delivered(call.connection.arrived()):
+                    push = call.pushes[0]
+                    outcomes = [(push.id, push.number, "delivered", now - call.began_at, 0, True, None)]
                     self.guarded(self.on_outcomes, call.endpoint, outcomes, now)
 
     def take_postable_notices(self):
@@ -464,16 +472,16 @@
         if not self.ledger_failing:
             return due
         time_left = {
-            ntf_id: self.ledger.owed[ntf_id].ttl_at - self.dispatcher.now
+            ntf_id: self.ledger.notifications[ntf_id].ttl_at - self.dispatcher.now
             for ntf_id, *_ in due
-            if ntf_id in self.ledger.owed
+            if ntf_id in self.ledger.notifications
         }
         self.notices_due = [notice for notice in due if time_left.get(notice[0], 0) > 0]
         past_ttl = [ntf_id for ntf_id, *_ in due if time_left.get(ntf_id, 1) <= 0]
         for ntf_id in past_ttl:
             # This process may end before it can write, and the next one reports as given up what is past its
             # TTL; the outcome reported here has to be the same.
-            self.ledger.replace_end(ntf_id, protocol.GIVEN_UP, 0)
+            self.ledger.replace_outcome(ntf_id, protocol.GIVEN_UP, 0)
         return [(ntf_id, protocol.GIVEN_UP, 0) for ntf_id in past_ttl]
 
     # ---- events
@@ -491,20 +499,20 @@
 
     def on_list_news(self, news, members):
         for entry, address in members:
-            if self.endpoints.book.get(entry[0], address) != address:
-                self.endpoints.move(entry[0])
-            self.endpoints.book[entry[0]], self.entries[entry[0]] = address, entry
+            if self.endpoints.addresses.get(entry[0], address) != address:
+                self.endpoints.address_changed(entry[0])
+            self.endpoints.addresses[entry[0]], self.entries[entry[0]] = address, entry
         self.dispatcher.update_endpoints(news, [entry for entry, _ in members])
         # An endpoint that a whole list leaves out is gone, although no entry names it.
         self.endpoints.recall({call.endpoint for call in self.endpoints.calls() if not self.in_service(call)})
         for gone in self.entries.keys() - self.dispatcher.state.endpoints.keys():
-            del self.endpoints.book[gone], self.entries[gone]
+            del self.endpoints.addresses[gone], self.entries[gone]
             self.retry_after_until.pop(gone, None)
 
-    def submit(self, topic, destination, ttl_at, key, body, answer, turn="", tenant=""):
+    def submit(self, topic, destination, ttl_at, key, body, answer, ordering_key="", tenant=""):
         ntf_id = answer.ntf_id
         self.answers_due.append(answer)
-        if ntf_id in self.known_ids or ntf_id in self.ledger.owed:
+        if ntf_id in self.known_ids or ntf_id in self.ledger.notifications:
             answer.status = 202  # submitted again, on a new connection or by another client
             if first := self.unfinished.get(ntf_id):
                 first.is_shared = True
@@ -519,7 +527,7 @@
             is_destination_known=destination
             in self.dispatcher.state.destinations,  # else the list is out of date
             has_place=len(self.unfinished) < self.dispatcher.state.settings.get("most_held", 1 << 30),
-            has_disk=self.ledger.room(len(body)),
+            has_disk=self.ledger.has_room(len(body)),
         )
         verdict = rules.may_accept(facts)
         if self.observer and facts.is_writable and facts.is_destination_known:
@@ -528,13 +536,15 @@
             self.trace.refused(ntf_id, verdict.reason)
             self.counters["turned_away_full"] += verdict.reason in CAPACITY_REASONS
             return self.counters.count_result(topic, DECLINED)
-        self.ledger.take(ntf_id, topic, destination, ttl_at, key, body, under=self.policy_number)
-        if turn:
-            self.ledger.write("k", ntf_id, turn)
+        self.ledger.add_accepted(
+            ntf_id, topic, destination, ttl_at, key, body, policy_number=self.policy_number
+        )
+        if ordering_key:
+            self.ledger.append_record("k", ntf_id, ordering_key)
         self.unfinished[ntf_id] = answer
         try:
             self.dispatcher.notification(
-                ntf_id, self.topics[topic], destination, ttl_at=ttl_at, key=turn, tenant=tenant
+                ntf_id, self.topics[topic], destination, ttl_at=ttl_at, key=ordering_key, tenant=tenant
             )
         except Exception:  # the client must not get a 202 for what the module does not have
             self.record_end(ntf_id)
@@ -585,10 +595,10 @@
                     ntf, self.dispatcher.state.endpoints.get(endpoint), latency, in_time, heard
                 )
             if over and ntf_id in self.unfinished:
-                owed = self.ledger.owed[ntf_id]
-                in_time = ending == "delivered" and heard < owed.ttl_at  # else withdrawn, or too late
-                self.counters.count_result(owed.topic, SUCCEEDED if in_time else ABORTED)
-                if heard >= owed.ttl_at - protocol.TIME_IS_UP:
+                notification = self.ledger.notifications[ntf_id]
+                in_time = ending == "delivered" and heard < notification.ttl_at  # else withdrawn, or too late
+                self.counters.count_result(notification.topic, SUCCEEDED if in_time else ABORTED)
+                if heard >= notification.ttl_at - protocol.TIME_IS_UP:
                     # So close to the TTL, the answer may come too late to be the end for the client. A
                     # superfluous notice does no harm, so one is posted.
                     self.unfinished.pop(ntf_id)
@@ -614,9 +624,11 @@
         A push that never left is recorded only if its endpoint could not be reached, which a restart has to
         know; one that was recalled, or found no capacity, counts as untried. It is recorded under the
         ledger's count: by the module's number, a restart would count attempts that were never made."""
-        owed = self.ledger.owed.get(ntf_id)
-        if owed and (number in owed.ran or ending == "unreachable"):
-            self.ledger.write("n", ntf_id, number if number in owed.ran else owed.pushes)
+        notification = self.ledger.notifications.get(ntf_id)
+        if notification and (number in notification.possible_runs or ending == "unreachable"):
+            self.ledger.append_record(
+                "n", ntf_id, number if number in notification.possible_runs else notification.pushes
+            )
 
     def endpoints_on_route(self, endpoint):
         """The endpoints to which a Retry-After wait of this one applies: all on its route."""
@@ -625,27 +637,29 @@
 
     def record_end(self, ntf_id, letter="e"):
         self.unfinished.pop(ntf_id, None)
-        if ntf_id in self.ledger.owed:
-            self.ledger.write(letter, ntf_id)
+        if ntf_id in self.ledger.notifications:
+            self.ledger.append_record(letter, ntf_id)
             if ntf_id not in self.known_ids:
                 self.ledger.forget(ntf_id)  # its TTL had passed before it ended
 
     # ---- what the module asks for (interface.Host)
 
     def push(self, ntf_id, endpoint_id, timeout, leave_within):
-        owed, now = self.ledger.owed[ntf_id], self.dispatcher.now
+        notification, now = self.ledger.notifications[ntf_id], self.dispatcher.now
         # The ledger counts only those that left.
         number = self.dispatcher.state.notifications[ntf_id].pushes - 1
-        until = min(now + timeout, owed.ttl_at) if timeout else owed.ttl_at
+        until = min(now + timeout, notification.ttl_at) if timeout else notification.ttl_at
         leave_by = now + leave_within if leave_within else until
         kind, _, zone = self.entries[endpoint_id][2:5]
-        send = Send(ntf_id, number, owed.key, owed.body, until, owed.ttl_at, leave_by, zone)
+        push = PushAttempt(
+            ntf_id, number, notification.key, notification.body, until, notification.ttl_at, leave_by, zone
+        )
         self.trace.event(ntf_id, "sending", number=number, endpoint=endpoint_id)
         max_batch = self.batch_sizes[kind] if kind < len(self.batch_sizes) else 1
         batch = 0
         while len(self.new_calls.setdefault((endpoint_id, batch), [])) >= max(max_batch, 1):
             batch += 1
-        self.new_calls[endpoint_id, batch].append(send)
+        self.new_calls[endpoint_id, batch].append(push)
 
     def cancel(self, ntf_id, number):
         self.cancels_due.append((ntf_id, number))
@@ -662,21 +676,21 @@
             return self.trace.violation(rules.Rule.ANSWERED_TWICE, ntf_id, outcome=outcome)
         answer = self.unfinished.pop(ntf_id)
         result = DECLINED if outcome == protocol.HANDED_BACK else ABORTED
-        self.counters.count_result(self.ledger.owed[ntf_id].topic, result)
+        self.counters.count_result(self.ledger.notifications[ntf_id].topic, result)
         if answer in self.answers_due:
             for other in [one for one in self.answers_due if one.ntf_id == ntf_id]:
                 other.status = status
                 other.retry_after = again_in
             self.known_ids.discard(ntf_id)
-            return self.ledger.write("x", ntf_id)
+            return self.ledger.append_record("x", ntf_id)
         self.queue_notice(ntf_id, outcome, again_in)
 
     def queue_notice(self, ntf_id, outcome, again_in):
-        delay = self.dispatcher.now - self.ledger.owed[ntf_id].ttl_at
+        delay = self.dispatcher.now - self.ledger.notifications[ntf_id].ttl_at
         if self.ready and delay - self.iteration_delay > MAX_END_DELAY:
             self.trace.violation(rules.Rule.LATE_END, ntf_id, late_ms=delay // MS)
         self.trace.event(ntf_id, outcome, again_in_ms=again_in // MS)
-        self.ledger.write("o", ntf_id, outcome, again_in // MS)
+        self.ledger.append_record("o", ntf_id, outcome, again_in // MS)
         self.counters["notices_due"] += 1
         self.notices_due.append((ntf_id, outcome, again_in // MS))
 
--- a/juniperlanding/net/parts.py
+++ b/juniperlanding/net/parts.py
@@ -1,6 +1,6 @@
 """Builds the optional parts of a dispatcher (`ground.part.Part`), each after those that it depends on."""
 
-from juniperlanding.net.ledger import Ledger, whole
+from juniperlanding.net.ledger import Ledger, check_not_split
 
 
 def made(node):
@@ -34,7 +34,7 @@
         from juniperlanding.shards.books import Sharded
 
         return Sharded(config.state, config.disk, files, inherited, clock)
-    whole(files, config.state)
+    check_not_split(files, config.state)
     return Ledger(config.state, config.disk, files, inherited, clock)
 
 
--- a/juniperlanding/net/succession.py
+++ b/juniperlanding/net/succession.py
@@ -17,7 +17,7 @@
 from juniperlanding.ground.lock import Taken
 from juniperlanding.ground.log import described, where
 from juniperlanding.handover import frames, steps
-from juniperlanding.net.endpoints import Call, Send
+from juniperlanding.net.endpoints import Call, PushAttempt
 from juniperlanding.net.line import Line
 
 HELLO_TIMEOUT = 1.0  # seconds that a caller has to send its first message
@@ -84,12 +84,12 @@
     def collect(cls, node, module_state):
         decision_loop, now = node.decision_loop, trio.current_time()
         idle = [
-            (endpoint, line)
-            for endpoint, lines in decision_loop.endpoints.idle.items()
-            for line in lines
-            if line.quiet()
+            (endpoint, connection)
+            for endpoint, connections in decision_loop.endpoints.idle.items()
+            for connection in connections
+            if connection.quiet()
         ]
-        calls, clients = decision_loop.endpoints.carried, node.clients.carried
+        calls, clients = decision_loop.endpoints.handed_over, node.clients.handed_over
         state = {
             "form": FORM,
             "clock": astuple(stamp) if (stamp := node.world.clock.stamp()) else None,
@@ -97,7 +97,7 @@
             "settings": settings_checksum(node.config.settings),
             "module": module_state,
             "entries": [
-                [*entry, *decision_loop.endpoints.book[number]]
+                [*entry, *decision_loop.endpoints.addresses[number]]
                 for number, entry in decision_loop.entries.items()
             ],
             # No revision while the full endpoint list has yet to arrive: the number is of the previous
@@ -106,36 +106,43 @@
             "discovery": decision_loop.discovery.address,
             "following": decision_loop.discovery.on,
             "clients": [
-                [received_bytes(line), line.until - now if line.until < float("inf") else None]
-                for line in clients
+                [
+                    received_bytes(connection),
+                    connection.until - now if connection.until < float("inf") else None,
+                ]
+                for connection in clients
             ],
             "calls": [
                 [
                     call.endpoint,
                     call.began_at,
-                    received_bytes(call.line),
-                    call.line.used_at,
+                    received_bytes(call.connection),
+                    call.connection.used_at,
                     [
                         [
-                            send.id,
-                            send.number,
-                            send.until,
-                            send.ttl_at,
-                            send.leave_by,
-                            send.over,
-                            send.cancelled,
+                            push.id,
+                            push.number,
+                            push.timeout_at,
+                            push.ttl_at,
+                            push.leave_by,
+                            push.over,
+                            push.cancelled,
                         ]
-                        for send in call.sends
+                        for push in call.pushes
                     ],
                 ]
                 for call in calls
             ],
-            "idle": [[endpoint, line.used_at] for endpoint, line in idle],
+            "idle": [[endpoint, connection.used_at] for endpoint, connection in idle],
         }
         if parts := {part.section: given for part in node.parts if (given := part.given()) is not None}:
             state["parts"] = parts
-        lines = [*clients, *(call.line for call in calls), *(line for _, line in idle)]
-        sockets = [line.sock for line in lines]
+        connections = [
+            *clients,
+            *(call.connection for call in calls),
+            *(connection for _, connection in idle),
+        ]
+        sockets = [connection.sock for connection in connections]
         return cls(json.loads(json.dumps(state)), node.lock, node.listener, sockets)
 
     @classmethod
@@ -177,35 +184,37 @@
             raise carry.UnreadableState("other settings")
 
     def clients(self):
-        """(line, seconds left for its request) of each client connection."""
+        """(connection, seconds left for its request) of each client connection."""
         for sock, (received, left) in zip(self.groups[0], self.state["clients"], strict=True):
             yield Line(sock, h11.SERVER, b64decode(received)), float("inf") if left is None else max(left, 0)
 
     def calls(self):
-        """(call, line) of each call whose request has been written out."""
-        for sock, (endpoint, began_at, received, used_at, sends) in zip(
+        """(call, connection) of each call whose request has been written out."""
+        for sock, (endpoint, began_at, received, used_at, pushes) in zip(
             self.groups[1], self.state["calls"], strict=True
         ):
             call = Call(
                 endpoint,
                 [
-                    Send(id_, number, "", b"", *times, over=over, cancelled=cancelled)
-                    for id_, number, *times, over, cancelled in sends
+                    PushAttempt(id_, number, "", b"", *times, over=over, cancelled=cancelled)
+                    for id_, number, *times, over, cancelled in pushes
                 ],
                 began_at,
             )
-            line = Line(sock, h11.CLIENT, b64decode(received))
-            line.used_at = used_at
-            line.http.send(h11.Request(method="POST", target="/", headers=[("Host", "endpoint")]))
-            line.http.send(h11.EndOfMessage())  # the old process sent the request; next comes its response
-            yield call, line
+            connection = Line(sock, h11.CLIENT, b64decode(received))
+            connection.used_at = used_at
+            connection.http.send(h11.Request(method="POST", target="/", headers=[("Host", "endpoint")]))
+            connection.http.send(
+                h11.EndOfMessage()
+            )  # the old process sent the request; next comes its response
+            yield call, connection
 
     def idle(self):
-        """(endpoint, line) of each idle connection to an endpoint."""
+        """(endpoint, connection) of each idle connection to an endpoint."""
         for sock, (endpoint, used_at) in zip(self.groups[2], self.state["idle"], strict=True):
-            line = Line(sock, h11.CLIENT)
-            line.used_at = used_at
-            yield endpoint, line
+            connection = Line(sock, h11.CLIENT)
+            connection.used_at = used_at
+            yield endpoint, connection
 
     def drop_calls(self):
         for sock in self.groups[1] + self.groups[2]:
@@ -217,12 +226,12 @@
             resource.close()
 
 
-def received_bytes(line):
+def received_bytes(connection):
     """All bytes received of the current message, as base64.
 
-    `line.early` holds what the previous process received: if the line is frozen before it is read again,
-    those bytes are still there."""
-    return b64encode(b"".join([*line.raw, line.early])).decode()
+    `connection.early` holds what the previous process received: if the connection is frozen before it is read
+    again, those bytes are still there."""
+    return b64encode(b"".join([*connection.raw, connection.early])).decode()
 
 
 class Succession:
--- a/juniperlanding/net/system_errors.py
+++ b/juniperlanding/net/system_errors.py
@@ -33,7 +33,7 @@
 LOG_INTERVAL = 60.0  # seconds between two log lines about the same error
 
 
-class Concerns(enum.Enum):
+class Affected(enum.Enum):
     """What an error affects."""
 
     CONNECTION = "connection"  # a single connection: the next accept may succeed
@@ -41,13 +41,13 @@
     UNKNOWN = "unknown"
 
 
-def concerns(error):
+def affected(error):
     """What an OSError of accept affects."""
     if error.errno in CONNECTION_ERRORS:
-        return Concerns.CONNECTION
+        return Affected.CONNECTION
     if error.errno in RESOURCE_ERRORS:
-        return Concerns.RESOURCES
-    return Concerns.UNKNOWN
+        return Affected.RESOURCES
+    return Affected.UNKNOWN
 
 
 def is_local(error):
@@ -86,13 +86,13 @@
         """Seconds to wait before the next accept; 0 when the error affects a single connection.
 
         An endless series of connection errors is paused as well, or it would use up the processor."""
-        kind = concerns(error)
+        kind = affected(error)
         self.consecutive_errors += 1
-        if kind is Concerns.CONNECTION and self.consecutive_errors <= MAX_CONNECTION_ERRORS:
+        if kind is Affected.CONNECTION and self.consecutive_errors <= MAX_CONNECTION_ERRORS:
             return 0.0
-        return self.backoff.next_pause() if kind is Concerns.RESOURCES else UNKNOWN_ERROR_PAUSE
+        return self.backoff.next_pause() if kind is Affected.RESOURCES else UNKNOWN_ERROR_PAUSE
 
-    def is_news(self, error, now):
+    def should_log(self, error, now):
         """Whether to log the error: none with its errno was logged in the last minute.  `now` in seconds."""
         if now - self.logged_at.get(error.errno, -LOG_INTERVAL) < LOG_INTERVAL:
             return False
@@ -100,6 +100,6 @@
         return True
 
 
-def name(error):
+def errno_name(error):
     """The symbol of its errno, for counters: `EMFILE`."""
     return errno.errorcode.get(error.errno, "other")
--- a/juniperlanding/shards/books.py
+++ b/juniperlanding/shards/books.py
@@ -18,7 +18,18 @@
 import msgspec
 
 from juniperlanding.ground.errors import Trouble
-from juniperlanding.net.ledger import FILE, FULL, MANIFEST, OVER, WASTE, Books, Ledger, Owed, Stamps, line
+from juniperlanding.net.ledger import (
+    ENDED_SHARE,
+    FILE,
+    FILE_EIGHTHS,
+    MANIFEST,
+    PENDING_EIGHTHS,
+    ClockRecords,
+    Ledger,
+    LedgerState,
+    PendingNotification,
+    line,
+)
 
 PLACES = 1 << 16
 BLOCK = 512  # a file takes its room in whole ones
@@ -83,35 +94,35 @@
 
 
 def held(files, folder):
-    """Each shard's `Books` as its file has them, apart.
+    """Each shard's `LedgerState` as its file has them, apart.
 
     Threat: an id that ended in one shard and was taken on anew in another; read as one file, the end of the
     first would end the second."""
-    return [Books(files).load(f"{folder}/{name}") for *_, name in ranges(files, folder)]
+    return [LedgerState(files).load(f"{folder}/{name}") for *_, name in ranges(files, folder)]
 
 
 class Shard:
-    """One range and its open file; `ids` and `over` are what it holds, as the keys of a map."""
+    """One range and its open file; `ids` and `ended_ids` are what it holds, as the keys of a map."""
 
-    added, cut_off, let_go = Ledger.added, Ledger.cut_off, Ledger.let_go
+    append, truncate_partial, close_file = Ledger.append, Ledger.truncate_partial, Ledger.close_file
     write_some = Ledger.write_some
 
     def __init__(self, files, low, high, name):
         self.files, self.low, self.high, self.name = files, low, high, name
-        self.file, self.file_size, self.torn = -1, 0, False
-        self.ids, self.over, self.live = {}, {}, 0
+        self.file, self.file_size, self.has_partial_record = -1, 0, False
+        self.ids, self.ended_ids, self.live = {}, {}, 0
         self.written = self.ended = 0  # bytes since this file is in force
 
-    def has(self, owed):
-        if owed.id not in self.ids:
-            self.ids[owed.id] = None
-            self.live += owed.size
+    def has(self, notification):
+        if notification.id not in self.ids:
+            self.ids[notification.id] = None
+            self.live += notification.size
 
-    def lost(self, owed):
-        if owed.id in self.ids:
-            del self.ids[owed.id]
-            self.live -= owed.size
-            self.ended += owed.size
+    def lost(self, notification):
+        if notification.id in self.ids:
+            del self.ids[notification.id]
+            self.live -= notification.size
+            self.ended += notification.size
 
 
 class Rewrite:
@@ -122,7 +133,7 @@
         self.after = sorted(
             [*(shard for shard in shards if shard not in old), *new], key=lambda shard: shard.low
         )
-        self.todo = [one for shard in old for one in (*shard.ids, *shard.over)]
+        self.todo = [one for shard in old for one in (*shard.ids, *shard.ended_ids)]
         self.at, self.copied, self.size = 0, set(), 0
         self.busy, self.why = False, ""  # a thread has its files; why it was given up
 
@@ -130,20 +141,21 @@
         return next(shard for shard in self.new if shard.low <= key < shard.high)
 
 
-class Sharded(Books):
-    """As `net.ledger.Ledger`, over several files.  `torn`, `pending` and errors mean the same.
+class Sharded(LedgerState):
+    """As `net.ledger.Ledger`, over several files.  `has_partial_record`, `unwritten` and errors mean the
+    same.
 
     `inherited`: another process of ours wrote them to the end, and may take them back; nothing is changed."""
 
     def __init__(self, folder, disk, files=None, inherited=False, clock=None):
         super().__init__(files)
-        self.stamps = Stamps(clock)
+        self.clock_records = ClockRecords(clock)
         self.folder, self.disk = folder, disk
-        self.most_owed, self.most_file = disk * FULL // 8, disk * WASTE // 8
-        self.most_over, self.most = disk // OVER, disk - disk // SPARE
-        self.pending, self.places, self.rewrite, self.old = [], {}, None, []
+        self.max_pending_size, self.max_file_size = disk * PENDING_EIGHTHS // 8, disk * FILE_EIGHTHS // 8
+        self.max_ended_size, self.most = disk // ENDED_SHARE, disk - disk // SPARE
+        self.unwritten, self.places, self.rewrite, self.old = [], {}, None, []
         self.given_up = 0
-        self.shards, self.lows, self.whole_sizes = [], [], {}
+        self.shards, self.lows, self.complete_sizes = [], [], {}
         self.last = 0
         self.enter([Shard(self.files, *told) for told in ranges(self.files, folder)])
         self.join(held(self.files, folder))
@@ -155,7 +167,7 @@
                 self.clean(listed)
                 self.rewrite_all()
             if self.shards[0].file < 0:
-                self.go_on()
+                self.open_for_append()
         except BaseException:
             self.close_files()
             raise
@@ -165,15 +177,15 @@
         try:
             self.compact()
         except OSError as error:
-            self.not_rewritten = error
+            self.rewrite_error = error
 
-    def go_on(self):
+    def open_for_append(self):
         """Write on behind what the files hold; half a record at an end is cut off before the next one."""
         for shard in self.shards:
             path = self.path(shard)
             shard.file, size = self.files.open(path), self.files.size(path)
-            shard.file_size = min(self.whole_sizes.get(shard.low, 0), size)
-            shard.torn = shard.file_size < size
+            shard.file_size = min(self.complete_sizes.get(shard.low, 0), size)
+            shard.has_partial_record = shard.file_size < size
 
     place = staticmethod(place)
 
@@ -190,18 +202,18 @@
         """Take in what the files have; of what is over the bound lets go first what ends first."""
         over = []
         for shard, books in zip(self.shards, found, strict=True):
-            self.whole_sizes[shard.low] = books.whole_size
-            self.skipped += books.skipped
+            self.complete_sizes[shard.low] = books.complete_size
+            self.invalid_lines += books.invalid_lines
             self.damaged += books.damaged
-            for owed in books.owed.values():
-                self.owed[owed.id] = owed
-                self.owed_size += owed.size
-                shard.has(owed)
+            for notification in books.notifications.values():
+                self.notifications[notification.id] = notification
+                self.pending_size += notification.size
+                shard.has(notification)
             stamps = [one for one in (self.stamp, books.stamp) if one]
             self.stamp = max(stamps, key=lambda stamp: stamp.now, default=None)
-            over += [(ttl_at, one, shard.low) for one, ttl_at in books.over.items()]
+            over += [(ttl_at, one, shard.low) for one, ttl_at in books.ended.items()]
         for ttl_at, one, low in sorted(over):
-            if one not in self.owed:
+            if one not in self.notifications:
                 self.remember(one, ttl_at, low)
 
     def clean(self, listed):
@@ -216,75 +228,75 @@
     # ---- as the ledger
 
     @property
-    def torn(self):
-        return any(shard.torn for shard in self.shards)
+    def has_partial_record(self):
+        return any(shard.has_partial_record for shard in self.shards)
 
     @property
     def file_size(self):
         return sum(shard.file_size for shard in self.shards)
 
-    replace_end = Ledger.replace_end
+    replace_outcome = Ledger.replace_outcome
 
-    def drop_pending(self, raw):
-        """As `Ledger.drop_pending`."""
-        self.pending = [entry for entry in self.pending if entry[-1] != raw]
+    def discard_unwritten(self, raw):
+        """As `Ledger.discard_unwritten`."""
+        self.unwritten = [entry for entry in self.unwritten if entry[-1] != raw]
 
-    def room(self, size):
-        return Ledger.room(self, size)
+    def has_room(self, size):
+        return Ledger.has_room(self, size)
 
-    def take(self, *fields, under=0):
-        owed = Owed(*fields, under=under)
-        raw, key = line(next(owed.records())), place(owed.destination)
-        self.pending.append((key, owed.id, raw))
-        self.add(owed, len(raw))
-        self.shard(key).has(owed)
+    def add_accepted(self, *fields, policy_number=0):
+        notification = PendingNotification(*fields, policy_number=policy_number)
+        raw, key = line(next(notification.records())), place(notification.destination)
+        self.unwritten.append((key, notification.id, raw))
+        self.add(notification, len(raw))
+        self.shard(key).has(notification)
         if rewrite := self.concerned(key):
-            rewrite.copied.add(owed.id)  # all its records are still to come
-            rewrite.place(key).has(owed)
+            rewrite.copied.add(notification.id)  # all its records are still to come
+            rewrite.place(key).has(notification)
 
     def concerned(self, key):
         """The rewrite that a place's records may go to as well."""
         rewrite = self.rewrite
         return rewrite if rewrite and self.shard(key) in rewrite.old else None
 
-    def write(self, *record):
-        owed = self.owed.get(record[1])
-        if owed is None:
+    def append_record(self, *record):
+        notification = self.notifications.get(record[1])
+        if notification is None:
             return
-        key = place(owed.destination)
-        self.pending.append((key, owed.id, line(record)))
+        key = place(notification.destination)
+        self.unwritten.append((key, notification.id, line(record)))
         self.apply(record)
-        if owed.id not in self.owed:
-            self.shard(key).lost(owed)
+        if notification.id not in self.notifications:
+            self.shard(key).lost(notification)
             rewrite = self.concerned(key)
-            if rewrite and owed.id in rewrite.copied:
-                rewrite.place(key).lost(owed)
-            if owed.id in self.over:
-                self.kept(owed.id, key)
+            if rewrite and notification.id in rewrite.copied:
+                rewrite.place(key).lost(notification)
+            if notification.id in self.ended:
+                self.kept(notification.id, key)
 
     def kept(self, one, key):
         self.places[one] = key
-        self.shard(key).over[one] = None
+        self.shard(key).ended_ids[one] = None
         rewrite = self.concerned(key)
         if rewrite and one in rewrite.copied:
-            rewrite.place(key).over[one] = None
+            rewrite.place(key).ended_ids[one] = None
 
     def remember(self, number, ttl_at, key=None):
         super().remember(number, ttl_at)
-        if key is not None and number in self.over:
+        if key is not None and number in self.ended:
             self.kept(number, key)
 
     def forget(self, number):
         key = self.places.pop(number, None)
         if key is not None:
-            self.shard(key).over.pop(number, None)
+            self.shard(key).ended_ids.pop(number, None)
             if rewrite := self.concerned(key):
-                rewrite.place(key).over.pop(number, None)
+                rewrite.place(key).ended_ids.pop(number, None)
         super().forget(number)
 
     def flush(self):
         """Write what gathered; on an error it stays gathered, and the files are as before."""
-        if not self.pending:
+        if not self.unwritten:
             return
         try:
             self.put()
@@ -293,20 +305,20 @@
                 raise
             self.give_up("its room is needed")  # threat: the copy takes the room that the files need
             self.put()
-        self.pending.clear()
+        self.unwritten.clear()
 
     def put(self):
         parts, mirrors = {}, {}
-        for key, one, raw in self.pending:
+        for key, one, raw in self.unwritten:
             parts.setdefault(self.shard(key), []).append(raw)
             rewrite = self.concerned(key)
             if rewrite and one in rewrite.copied:
                 mirrors.setdefault(rewrite.place(key), []).append(raw)
-        stamp = self.stamps.due()
+        stamp = self.clock_records.due()
         parts = {shard: stamp + b"".join(lines) for shard, lines in parts.items()}
         mirrors = {shard: b"".join(lines) for shard, lines in mirrors.items()}
         grown = sum(map(len, parts.values()))
-        if self.file_size + grown > self.most_file:
+        if self.file_size + grown > self.max_file_size:
             self.give_up("its room is needed")
             return self.compact()  # what is pending is applied already, so it is in there
         if self.rewrite and self.used({**parts, **mirrors}) > self.most:
@@ -314,16 +326,16 @@
         written = []
         try:
             for shard, data in parts.items():
-                shard.added(data)
+                shard.append(data)
                 written.append(shard)
         except OSError:
             # Threat: one file has its part, the next one none; a client told no, and it runs after a kill.
             for shard in written:
-                shard.torn = True
+                shard.has_partial_record = True
                 with suppress(OSError):
-                    shard.cut_off()
+                    shard.truncate_partial()
             raise
-        self.stamps.written()
+        self.clock_records.written()
         for shard, data in parts.items():
             shard.file_size += len(data)
             shard.written += len(data)
@@ -334,7 +346,7 @@
         """Threat: the new file cannot be written while the old one can; the round goes on without it."""
         try:
             for shard, data in mirrors.items():
-                shard.file_size += shard.added(data)
+                shard.file_size += shard.append(data)
         except OSError as error:
             self.give_up(error.strerror or str(error))
 
@@ -356,7 +368,7 @@
     def close_files(self):
         for shard in self.shards:
             if shard.file >= 0:
-                shard.let_go(shard.file)
+                shard.close_file(shard.file)
                 shard.file = -1
 
     # ---- the rewrite
@@ -383,49 +395,49 @@
         try:
             for shard in new:
                 shard.file = self.files.open(self.path(shard), fresh=True)
-                if self.owed or self.over:
-                    shard.file_size += shard.added(self.stamps.line())
+                if self.notifications or self.ended:
+                    shard.file_size += shard.append(self.clock_records.line())
         except OSError as error:
             self.give_up(error.strerror or str(error))
             raise
         return self.rewrite
 
-    def copy(self, most=SLICE, late=lambda: False, pending=False):
+    def copy(self, most=SLICE, late=lambda: False, unwritten=False):
         """One slice: at most so many bytes, and none more once `late()`.  Whether all is copied.
 
-        While something is gathered and unwritten nothing is copied, unless it may be in the copy (`pending`)
-        because it is dropped with the one step.  OSError: the rewrite was given up."""
+        While something is gathered and unwritten nothing is copied, unless it may be in the copy
+        (`unwritten`) because it is dropped with the one step.  OSError: the rewrite was given up."""
         rewrite, lines, size = self.rewrite, {}, 0
-        if self.pending and not pending:
+        if self.unwritten and not unwritten:
             return False
         while rewrite.at < len(rewrite.todo) and size < most:
             one = rewrite.todo[rewrite.at]
             rewrite.at += 1
             if one in rewrite.copied:
                 continue
-            owed, records, key = self.owed.get(one), (), 0
-            if owed:
-                key, records = place(owed.destination), owed.records()
-            elif one in self.over:
-                key, records = self.places[one], [["d", one, self.over[one]]]
+            notification, records, key = self.notifications.get(one), (), 0
+            if notification:
+                key, records = place(notification.destination), notification.records()
+            elif one in self.ended:
+                key, records = self.places[one], [["d", one, self.ended[one]]]
             rewrite.copied.add(one)
             if not records or self.shard(key) not in rewrite.old:
                 continue  # over as if it had never been, let go, or taken on anew for another shard
             data, shard = b"".join(map(line, records)), rewrite.place(key)
             lines.setdefault(shard, []).append(data)
             size += len(data)
-            if owed:
-                shard.has(owed)
+            if notification:
+                shard.has(notification)
             else:
-                shard.over[one] = None
+                shard.ended_ids[one] = None
             if rewrite.at % LOOK == 0 and late():
                 break
         lines = {shard: b"".join(data) for shard, data in lines.items()}
         try:
-            if not pending and self.used(lines) > self.most:
+            if not unwritten and self.used(lines) > self.most:
                 raise NoRoom(errno.ENOSPC, "no room for the copy", self.folder)
             for shard, data in lines.items():
-                shard.file_size += shard.added(data)
+                shard.file_size += shard.append(data)
         except OSError as error:
             self.give_up(error.strerror or str(error))
             raise
@@ -475,7 +487,7 @@
         while self.old:
             shard = self.old.pop()
             if shard.file >= 0:
-                shard.let_go(shard.file)
+                shard.close_file(shard.file)
                 shard.file = -1
             if shard.name:
                 with suppress(OSError):  # the next start removes it
@@ -496,7 +508,7 @@
             if shard.file >= 0:
                 with suppress(OSError):
                     self.files.truncate(shard.file, 0)
-                shard.let_go(shard.file)
+                shard.close_file(shard.file)
                 shard.file = -1
             with suppress(OSError):
                 self.files.unlink(self.path(shard))
@@ -507,7 +519,7 @@
         """All shards anew and at once, as the ledger does: at the start, and where the room ends."""
         rewrite = self.begin(list(self.shards), [0, *(shard.high for shard in self.shards)], bound=False)
         try:
-            while not self.copy(pending=True):
+            while not self.copy(unwritten=True):
                 pass
             self.secure(rewrite)
             self.commit()
--- a/juniperlanding/shards/part.py
+++ b/juniperlanding/shards/part.py
@@ -52,8 +52,8 @@
                 f"rate={growth.grown.forecast} band={2 * growth.grown.rmse} "
                 f"left={seconds(growth.left(self.bounds.most))}"
             )
-        left = self.total.left(self.ledger.most_owed)
-        lines.append(f"disk live={self.ledger.owed_size} left={seconds(left)}")
+        left = self.total.left(self.ledger.max_pending_size)
+        lines.append(f"disk live={self.ledger.pending_size} left={seconds(left)}")
         if self.foretold:
             lines.append(
                 f"foretold {self.foretold.why} {self.foretold.shard.low}-{self.foretold.shard.high} "
@@ -90,7 +90,7 @@
             growth.sample(shard.live - growth.live + gone, gone, shard.live)
             ended += gone
         self.ended = {shard: shard.ended for shard in ledger.shards}
-        self.total.sample(ledger.owed_size - self.total.live + ended, ended, ledger.owed_size)
+        self.total.sample(ledger.pending_size - self.total.live + ended, ended, ledger.pending_size)
 
     def chosen(self):
         """(shards, edges, word) of the rewrite that is due, or (None, None, "")."""
@@ -108,14 +108,14 @@
             old = [views[view] for view in found.shards]
             return old, [old[0].low, old[-1].high], "merge"
         sizes = [(shard.file_size, shard.live) for shard in shards]
-        at = wasteful(sizes, self.ledger.most_file)
+        at = wasteful(sizes, self.ledger.max_file_size)
         if at is not None and self.steady() >= self.planner.not_before:
             return [shards[at]], [shards[at].low, shards[at].high], "compaction"
         return None, None, ""
 
     def sampled(self, shard):
         ids = [*shard.ids]
-        found = (self.ledger.owed[one] for one in ids[:: max(1, len(ids) // SAMPLE)])
+        found = (self.ledger.notifications[one] for one in ids[:: max(1, len(ids) // SAMPLE)])
         return [(self.ledger.place(owed.destination), owed.size) for owed in found]
 
     def say(self, foretold):
--- a/juniperlanding/sites/part.py
+++ b/juniperlanding/sites/part.py
@@ -173,7 +173,7 @@
             self.place(dest, sites, near, at, now) for dest in state.destinations.values() if dest.endpoints
         ]
         places.sort(key=lambda place: (-place.taken, place.destination))
-        each = ledger.owed_size // len(ledger.owed) + 1 if ledger.owed else RECORD
+        each = ledger.pending_size // len(ledger.notifications) + 1 if ledger.notifications else RECORD
         return words.Figures(
             words.VERSION,
             words.BELIEVED // MS,
@@ -186,7 +186,7 @@
                 min(state.settings.get("most_held", 1 << 20), 1 << 30)
                 - len(self.node.decision_loop.unfinished),
             ),
-            max(0, ledger.most_owed - ledger.owed_size) // each,
+            max(0, ledger.max_pending_size - ledger.pending_size) // each,
             near=near is not None,
         )
 
--- a/juniperlanding/soak/defects.py
+++ b/juniperlanding/soak/defects.py
@@ -34,10 +34,10 @@
 def starts_need_the_disk():
     """was: a start that cannot rewrite its ledger ends."""
 
-    def go_on(self):
+    def open_for_append(self):
         raise OSError(errno.EIO, "the ledger cannot be rewritten")
 
-    ledger.Ledger.go_on = go_on
+    ledger.Ledger.open_for_append = open_for_append
 
 
 @defect
@@ -58,9 +58,9 @@
     """After a restart a once-only message that may have run counts as untried."""
     restore = owner.DecisionLoop.restore
 
-    def untried(self, owed):
-        owed.ran, owed.left = {}, False
-        return restore(self, owed)
+    def untried(self, notification):
+        notification.possible_runs, notification.was_sent = {}, False
+        return restore(self, notification)
 
     owner.DecisionLoop.restore = untried
 
@@ -80,7 +80,7 @@
 @defect
 def yes_before_the_ledger():
     """Clients hear yes though their messages were never written down."""
-    ledger.Ledger.flush = lambda self: self.pending.clear()
+    ledger.Ledger.flush = lambda self: self.unwritten.clear()
 
 
 @defect
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -51,7 +51,7 @@
         wall_clock.step(site, HOUR)
         node = await site.start()
         await opened(site, node)
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert sorted(set(sent(site))) == NAMES and not site.platform.notices
 
     site.run(scene)
@@ -71,7 +71,7 @@
             with trio.move_on_after(taken_at + ttl + NOTICE_WITHIN - trio.current_time()):
                 await site.until(lambda name=name: name in outcomes(site))
             assert name in outcomes(site), f"no end {ttl + NOTICE_WITHIN} s after a step of {step / SEC} s"
-            await site.until(lambda node=node: not node.ledger.owed)
+            await site.until(lambda node=node: not node.ledger.notifications)
             site.kill()
 
     site.run(scene)
@@ -94,7 +94,7 @@
             site.far.answer = lambda *message: http(200)
             wall_clock.step(site, step)
             node = await site.start()
-            await site.until(lambda node=node: not node.ledger.owed)
+            await site.until(lambda node=node: not node.ledger.notifications)
             assert sent(site).count(name) == 2, f"{name} was not repeated after a step of {step / SEC} s"
             assert not site.platform.notices
             site.kill()
@@ -115,7 +115,7 @@
         await trio.sleep(0.6)
         wall_clock.step(site, step)
         node = await site.start()
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert sent(site) == ["a0"] and outcomes(site) == {"a0": GIVEN_UP}
 
     site.run(scene, lambda *message: None)
@@ -142,9 +142,9 @@
     """Write a ledger in which `a` is pending without a push, `b` is pending after one, and `c` is over."""
     ledger = Ledger(folder, 1 << 20, clock=clock)
     for name in "abc":
-        ledger.take(name, "news", 7, clock.now() + ttl, "", b"")
-    ledger.write("p", "b", 0, 1, clock.now())
-    ledger.write("e", "c")
+        ledger.add_accepted(name, "news", 7, clock.now() + ttl, "", b"")
+    ledger.append_record("p", "b", 0, 1, clock.now())
+    ledger.append_record("e", "c")
     ledger.flush()
     ledger.close()
 
@@ -153,10 +153,10 @@
     write_ledger(tmp_path, Machine(steady=5 * SEC))
     clock = Machine(steady=8 * SEC, wall=9 * HOUR)
     ledger = Ledger(tmp_path, 1 << 20, clock=clock)
-    left = {name: owed.ttl_at - clock.now() for name, owed in ledger.owed.items()}
+    left = {name: owed.ttl_at - clock.now() for name, owed in ledger.notifications.items()}
     assert left == {"a": 17 * SEC, "b": 17 * SEC}
-    assert ledger.owed["b"].ran == {0: (1, clock.now() - 3 * SEC)}
-    assert ledger.over["c"] - clock.now() == 17 * SEC
+    assert ledger.notifications["b"].possible_runs == {0: (1, clock.now() - 3 * SEC)}
+    assert ledger.ended["c"] - clock.now() == 17 * SEC
 
 
 @pytest.mark.parametrize("wall", [0, HOUR, 9 * HOUR])
@@ -167,8 +167,11 @@
     for _ in range(2):  # the second start must not move the times again
         clock = Machine(boot_id, steady, wall)
         ledger = Ledger(tmp_path, 1 << 20, clock=clock)
-        assert {owed.ttl_at - clock.now() for owed in ledger.owed.values()} == {20 * SEC}
-        assert ledger.owed["b"].ran == {0: (1, 1)} and ledger.over["c"] - clock.now() == 20 * SEC
+        assert {owed.ttl_at - clock.now() for owed in ledger.notifications.values()} == {20 * SEC}
+        assert (
+            ledger.notifications["b"].possible_runs == {0: (1, 1)}
+            and ledger.ended["c"] - clock.now() == 20 * SEC
+        )
         ledger.close()
 
 
@@ -179,11 +182,11 @@
         clock = Machine(f"boot {start}")
         ledger = Ledger(tmp_path, 1 << 20, clock=clock)
         clock.at += 4 * SEC
-        ledger.take(f"d{start}", "news", 7, clock.now() + SEC, "", b"")
+        ledger.add_accepted(f"d{start}", "news", 7, clock.now() + SEC, "", b"")
         ledger.flush()
         ledger.close()
     clock = Machine("boot 6")
-    assert Ledger(tmp_path, 1 << 20, clock=clock).owed["a"].ttl_at - clock.now() == 4 * SEC
+    assert Ledger(tmp_path, 1 << 20, clock=clock).notifications["a"].ttl_at - clock.now() == 4 * SEC
 
 
 def test_a_ledger_of_an_earlier_version_goes_by_the_wall_clock(tmp_path):
@@ -192,7 +195,7 @@
     assert b'["c"' not in before
     clock = Machine(steady=8 * SEC, wall=HOUR + 3 * SEC)
     ledger = Ledger(tmp_path, 1 << 20, clock=clock)
-    assert {owed.ttl_at - clock.now() for owed in ledger.owed.values()} == {17 * SEC}
+    assert {owed.ttl_at - clock.now() for owed in ledger.notifications.values()} == {17 * SEC}
 
 
 class MachineWithoutStamp(Machine):
@@ -205,12 +208,12 @@
 def test_the_files_of_shards_carry_the_clock_too(tmp_path):
     clock = Machine(steady=5 * SEC)
     ledger = Sharded(str(tmp_path), 1 << 20, clock=clock)
-    ledger.take("a", "news", 7, clock.now() + 20 * SEC, "", b"")
+    ledger.add_accepted("a", "news", 7, clock.now() + 20 * SEC, "", b"")
     ledger.flush()
     ledger.close()
     for later_clock, seconds_left in ((Machine(steady=8 * SEC, wall=0), 17), (Machine("boot 2", wall=0), 17)):
         reopened = Sharded(str(tmp_path), 1 << 20, clock=later_clock)
-        assert reopened.owed["a"].ttl_at - later_clock.now() == seconds_left * SEC
+        assert reopened.notifications["a"].ttl_at - later_clock.now() == seconds_left * SEC
         reopened.close()
 
 
@@ -249,7 +252,7 @@
         file.write(line(["c", second.boot_id, second.epoch, second.now()]))
         file.write(line(["t", "e", "news", 7, second.now() + 9 * SEC, "", ""]))
     third = Machine("boot 2", steady=3 * SEC, wall=HOUR)
-    pending = Ledger(tmp_path, 1 << 20, clock=third).owed
+    pending = Ledger(tmp_path, 1 << 20, clock=third).notifications
     assert {name: ntf.ttl_at - third.now() for name, ntf in pending.items()} == {
         "a": 18 * SEC,
         "b": 18 * SEC,
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -62,7 +62,7 @@
     def say(self, call, data):
         """Sends data and returns once it is in the node's socket; no task of the node runs in between."""
         self.calls[-1]._sock.send(data)
-        while call.line.sock.peek() is None:  # loopback: it arrives at once
+        while call.connection.sock.peek() is None:  # loopback: it arrives at once
             pass
 
     def reset(self):
@@ -78,10 +78,10 @@
 async def written_call(site, calls, count=1):
     """A call that is fully written, and of whose response nothing has arrived yet."""
     site.peer = await Peer().open(site.nursery)
-    calls.book["s-1"] = site.peer.address
+    calls.addresses["s-1"] = site.peer.address
     calls.start(site.nursery, "s-1", [send("ab"[index], 8 * SEC) for index in range(count)])
     await site.until(lambda: site.peer.calls)
-    (call,) = set(calls.out.values())
+    (call,) = set(calls.in_flight.values())
     await site.until(lambda: call.written)
     await trio.testing.wait_all_tasks_blocked()
     return call
@@ -128,7 +128,7 @@
             time_out(call)
         await site.until(lambda: len(outcomes) == count)
         assert {outcome[2] for outcome in outcomes} == {on_cancel if how == "cancel" else on_time_out}
-        assert not calls.out
+        assert not calls.in_flight
 
     site.run(scene)
 
@@ -154,11 +154,11 @@
         calls = await endpoints(site, outcomes)
         call = await written_call(site, calls, count)
         site.peer.say(call, arrived)
-        await site.until(lambda: call.line.sock.peek() is None)  # all of it was read
+        await site.until(lambda: call.connection.sock.peek() is None)  # all of it was read
         await trio.testing.wait_all_tasks_blocked()
         time_out(call)
         await site.until(lambda: len(outcomes) == count and calls.connection_limit.value == 8)
-        assert {outcome[2] for outcome in outcomes} == {ending} and not calls.out
+        assert {outcome[2] for outcome in outcomes} == {ending} and not calls.in_flight
 
     site.run(scene)
 
@@ -180,7 +180,7 @@
         call = await written_call(site, calls, count)
         if before:
             site.peer.say(call, before)
-            await site.until(lambda: call.line.head == before)
+            await site.until(lambda: call.connection.head == before)
         late.append((call, HALF_A_HEAD[len(before) :]))
         monkeypatch.setattr(Line, "arrived", arrived)
         time_out(call)
@@ -206,7 +206,7 @@
         calls.network = Held(site.far)
         calls.start(site.nursery, "s-1", [send("ab"[index], 8 * SEC) for index in range(count)])
         await site.until(lambda: calls.network.began)
-        (call,) = set(calls.out.values())
+        (call,) = set(calls.in_flight.values())
 
         def off():
             if how == "recall":
@@ -222,7 +222,7 @@
         await site.until(lambda: len(outcomes) == count and calls.connection_limit.value == 8)
         await trio.testing.wait_all_tasks_blocked()
         assert {outcome[2] for outcome in outcomes} == {"unreachable" if how == "time-out" else "moot"}
-        assert not got(site.far) and not calls.out
+        assert not got(site.far) and not calls.in_flight
 
     site.run(scene)
 
@@ -232,8 +232,8 @@
     original = Line.waiting
 
     def waiting(line):
-        if calls.out:
-            (call,) = calls.out.values()
+        if calls.in_flight:
+            (call,) = calls.in_flight.values()
             if how == "cancel":
                 calls.cancel("a", 0)
             elif how == "recall":
@@ -321,11 +321,11 @@
         node = await site.start()
         assert await site.submit("a", topic, ttl=9000) == 202
         await site.until(lambda: site.peer.calls)
-        (call,) = set(node.decision_loop.endpoints.out.values())
+        (call,) = set(node.decision_loop.endpoints.in_flight.values())
         await site.until(lambda: call.written)
         site.peer.answer = http(200)
         act(site, call)
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert node.counters[f"pushes_{outcome}"] >= 1
         given_up = ran and outcome != "delivered" and topic == "order"
         assert len(site.peer.got) == (1 if outcome == "delivered" or given_up else 2)
@@ -363,7 +363,7 @@
         node = await site.start()
         assert await site.submit("a", topic, ttl=9000) == 202
         await site.until(lambda: site.peer.calls)
-        (call,) = set(node.decision_loop.endpoints.out.values())
+        (call,) = set(node.decision_loop.endpoints.in_flight.values())
         await site.until(lambda: call.written)
         await node.decision_loop.enqueue(node.decision_loop.stop_loop)
         await node.decision_loop.loop_stopped.wait()
@@ -372,7 +372,7 @@
             site.peer.say(call, data)
         if read:
             await trio.testing.wait_all_tasks_blocked()
-            await site.until(lambda: call.line is None or call.line.sock.peek() is None)
+            await site.until(lambda: call.connection is None or call.connection.sock.peek() is None)
             await trio.testing.wait_all_tasks_blocked()
         assert node.close()
         site.scope.cancel()
@@ -381,7 +381,7 @@
         assert list(owed(site)) == [] if delivered else ["a"]
         site.peer.answer = http(200)
         node = await site.start()
-        await site.until(lambda: node.decision_loop.ready and not node.ledger.owed)
+        await site.until(lambda: node.decision_loop.ready and not node.ledger.notifications)
         given_up = not delivered and topic == "order"
         assert len(site.peer.got) == (1 if delivered or given_up else 2)
         assert {
@@ -414,7 +414,7 @@
         assert not got(site.far) and list(owed(site)) == ["a"] and untried(site, "a")
         site.world = world
         node = await site.start()
-        await site.until(lambda: node.decision_loop.ready and not node.ledger.owed)
+        await site.until(lambda: node.decision_loop.ready and not node.ledger.notifications)
         assert len(got(site.far)) == 1 and not noticed(site, "a")
 
     site.run(scene)
@@ -425,7 +425,7 @@
 
 def untried(site, name):
     one = owed(site)[name]
-    return not one.pushes and not one.ran
+    return not one.pushes and not one.possible_runs
 
 
 def noticed(site, name):
@@ -437,9 +437,9 @@
     """Simulates SIGKILL: what the tasks do as they are cancelled reaches neither the ledger nor a socket."""
     path = site.folder / "state" / "ledger"
     content = path.read_bytes()
-    for call in set(site.node.decision_loop.endpoints.out.values()):
-        if call.line:
-            call.line.sock.abort()
+    for call in set(site.node.decision_loop.endpoints.in_flight.values()):
+        if call.connection:
+            call.connection.sock.abort()
     site.kill()
     await trio.testing.wait_all_tasks_blocked()
     path.write_bytes(content)
@@ -447,7 +447,7 @@
 
 async def next_process(site):
     node = await site.start()
-    await site.until(lambda: node.decision_loop.ready and not node.ledger.owed)
+    await site.until(lambda: node.decision_loop.ready and not node.ledger.notifications)
     return node
 
 
@@ -458,7 +458,7 @@
         calls = node.decision_loop.endpoints
         calls.connection_limit = trio.Semaphore(0)
         assert await site.submit("a", topic, ttl=9000) == 202
-        await site.until(lambda: calls.out)
+        await site.until(lambda: calls.in_flight)
         await trio.testing.wait_all_tasks_blocked()
         await killed(site)
         assert untried(site, "a")
@@ -477,8 +477,8 @@
     def waiting(line):
         if is_killed.is_set():
             return original(line)
-        for call in site.node.decision_loop.endpoints.out.values():
-            if call.line is line and not call.written and call.sends[0].id == "a":
+        for call in site.node.decision_loop.endpoints.in_flight.values():
+            if call.connection is line and not call.written and call.pushes[0].id == "a":
                 site.content = (site.folder / "state" / "ledger").read_bytes()
                 line.sock.abort()
                 site.kill()
@@ -489,7 +489,7 @@
         await site.start()
         if kept:
             assert await site.submit("z", "news") == 202
-            await site.until(lambda: not site.node.ledger.owed)
+            await site.until(lambda: not site.node.ledger.notifications)
             assert site.node.decision_loop.endpoints.idle["s-1"]
         monkeypatch.setattr(Line, "waiting", waiting)
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError, TypeError):
@@ -526,7 +526,7 @@
         monkeypatch.setattr(Line, "write", write_last_byte)
         assert await site.submit("a", topic, ttl=9000) == 202
         await reached.wait()
-        assert list(owed(site)["a"].ran) == [0] and node.ledger.owed["a"].pushes == 1
+        assert list(owed(site)["a"].possible_runs) == [0] and node.ledger.notifications["a"].pushes == 1
         await killed(site)
         site.peer.answer = http(200)
         await next_process(site)
@@ -571,7 +571,7 @@
             site.world = world
             node = await site.start()
         site.world.files.error = 0
-        await site.until(lambda: node.decision_loop.ready and not node.ledger.owed)
+        await site.until(lambda: node.decision_loop.ready and not node.ledger.notifications)
         assert len(got(site.far)) == 1 and not noticed(site, "a")
         assert node.counters["pushes_delivered"] == 1 and not node.counters["faults"]
 
@@ -644,7 +644,7 @@
         assert await site.submit("a", topic, ttl=900) == 202
         await site.until(lambda: noticed(site, "a"))
         site.world.network.go.set()
-        await site.until(lambda: not node.ledger.owed and node.decision_loop.endpoints.settled())
+        await site.until(lambda: not node.ledger.notifications and node.decision_loop.endpoints.settled())
         assert not got(site.far) and noticed(site, "a") == {"handed_back"}
         assert b'["t","a"' in b"".join(written) and b'["p",' not in b"".join(written)
 
@@ -658,7 +658,7 @@
     def answer(first, headers, body):
         batch = ":batch" in first
         names = [item["id"] for item in json.loads(body)] if batch else [headers["x-trace-id"]]
-        assert all(owed(site)[name].ran for name in names)
+        assert all(owed(site)[name].possible_runs for name in names)
         runs.extend(names)
         sizes.append(len(names))
         return each_accepted(first, headers, body)
@@ -671,9 +671,9 @@
             if not process:
                 for name in "xabc":
                     assert await site.submit(name, "order", ttl=9000) == 202
-            await site.until(lambda: len(site.node.decision_loop.endpoints.out) == 4)
+            await site.until(lambda: len(site.node.decision_loop.endpoints.in_flight) == 4)
             if process:  # all are restored in one iteration, and untried: they share a call
-                assert len(set(site.node.decision_loop.endpoints.out.values())) < 4
+                assert len(set(site.node.decision_loop.endpoints.in_flight.values())) < 4
             await killed(site)
             assert all(untried(site, name) for name in "xabc")
         site.world = world
@@ -706,7 +706,7 @@
         stuck = decision_loop.event_sender.statistics().tasks_waiting_send
         while decision_loop.event_sender.statistics().tasks_waiting_send:  # or this test would not end either
             decision_loop.event_receiver.receive_nowait()
-        assert not stuck and not decision_loop.endpoints.out
+        assert not stuck and not decision_loop.endpoints.in_flight
         node.release()
 
     site.run(scene, lambda *message: None)
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -46,7 +46,7 @@
         await site.until(lambda: {"c1", "d1"} <= set(sent_ids(site)))
         assert "a2" not in sent_ids(site)
         site.far.go.set()
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert sent_ids(site)[-1] == "a2"
 
     answer = ordered(site)
@@ -67,7 +67,7 @@
         await site.until(lambda: "c1" in sent_ids(site))
         assert "a2" not in sent_ids(site)
         site.far.go.set()
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert sent_ids(site) == ["a1", "a1", "c1", "a2"]
 
     answer = ordered(site, None)
@@ -120,7 +120,7 @@
             assert await submit_keyed(site, number, "", f"X-Customer: {tenant}") == 202
         assert sent_ids(site) == ["a1"]
         site.far.go.set()
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert sent_ids(site) == ["a1", "b1", "a2"]
 
     site.run(scene, lambda *message: "late")
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -197,11 +197,11 @@
         site.far.address = listeners[0].socket.getsockname()[:2]
         old = await first(site)
         assert await site.submit("a1", "order") == 202
-        in_flight = old.decision_loop.endpoints.out
-        await site.until(lambda: any(call.line and call.line.head for call in in_flight.values()))
+        in_flight = old.decision_loop.endpoints.in_flight
+        await site.until(lambda: any(call.connection and call.connection.head for call in in_flight.values()))
         new = await replace(site)
         send_rest.set()
-        await site.until(lambda: not new.ledger.owed)
+        await site.until(lambda: not new.ledger.notifications)
         assert len(calls_of_a1(calls)) == 1 and new.counters["svc.results.order.succeeded"] == 1
 
     site.run(scene)
@@ -221,10 +221,10 @@
     async def scene(site):
         old = await first(site)
         assert await site.submit("a1", "order") == 202
-        await site.until(lambda: old.decision_loop.endpoints.out)
+        await site.until(lambda: old.decision_loop.endpoints.in_flight)
         new = await replace(site)
         may_connect.set()
-        await site.until(lambda: not new.ledger.owed)
+        await site.until(lambda: not new.ledger.notifications)
         assert len(calls_of_a1(site.far.got)) == 1 and old.counters["pushes_moot"] == 1
         assert new.counters["svc.results.order.succeeded"] == 1
 
--- a/tests/test_endings_drain.py
+++ b/tests/test_endings_drain.py
@@ -196,7 +196,7 @@
     async def scene(site):
         node, stream = await site.start(), await site.client()
         await stream.send_all(handed("X-Addressing: dest=8"))
-        await site.until(lambda: node.ledger.owed)
+        await site.until(lambda: node.ledger.notifications)
         site.nursery.start_soon(stop, site)
         assert await heard(stream) == 202
 
@@ -208,7 +208,7 @@
         node, stream = await site.start(), await site.client()
         await site.until(lambda: node.clients.waiting)
         node.clients.refuse()
-        assert await site.submit("a1", stream=stream) == 503 and not node.ledger.owed
+        assert await site.submit("a1", stream=stream) == 503 and not node.ledger.notifications
 
     site.run(scene)
 
@@ -344,7 +344,7 @@
     async def scene(site):
         node = await site.start()
         await site.until(lambda: node.decision_loop.ready)
-        refuse, withdraw = node.clients.refuse, node.decision_loop.endpoints.withdraw
+        refuse, withdraw = node.clients.refuse, node.decision_loop.endpoints.cancel_unsent
 
         async def record_withdraw():
             await withdraw()
@@ -354,7 +354,7 @@
             refuse()
             connect()
 
-        node.clients.refuse, node.decision_loop.endpoints.withdraw = refuse_and_connect, record_withdraw
+        node.clients.refuse, node.decision_loop.endpoints.cancel_unsent = refuse_and_connect, record_withdraw
         assert await stop(site)
         assert withdrawn == [True] and accepted
         if how == "come without end":
@@ -381,7 +381,7 @@
             node.decision_loop.event_sender.send_nowait((node.decision_loop.on_outcomes, outcomes[0]))
             return close()
 
-        node.decision_loop.endpoints.told, node.close = keep_outcome, queue_outcome_and_close
+        node.decision_loop.endpoints.on_outcomes, node.close = keep_outcome, queue_outcome_and_close
         assert await site.submit("a1", "order") == 202
         await site.until(lambda: outcomes)
         assert await stop(site)
@@ -405,10 +405,10 @@
         node = await site.start()
         assert await site.submit("a1", "order") == 202
         await site.until(lambda: streams)
-        (call,) = set(node.decision_loop.endpoints.out.values())
-        await site.until(lambda: call.written and call.line.head == before)
+        (call,) = set(node.decision_loop.endpoints.in_flight.values())
+        await site.until(lambda: call.written and call.connection.head == before)
         streams[0].socket._sock.send(ANSWER[len(before) : 50])
-        while call.line.sock.peek() is None:
+        while call.connection.sock.peek() is None:
             pass
         assert node.close()
         await end_process(site)
@@ -472,7 +472,7 @@
         assert not site.far.got and list(owed(site)) == ["a1"] * (step == "after the write")
         node = await site.start()
         if step == "after the write":
-            await site.until(lambda: site.far.got and not node.ledger.owed)
+            await site.until(lambda: site.far.got and not node.ledger.notifications)
 
     site.run(scene)
 
@@ -488,7 +488,7 @@
         assert owed(site)["a1"].notice
         site.platform.notice_status = 204
         node = await site.start()
-        await site.until(lambda: site.platform.notices and not node.ledger.owed)
+        await site.until(lambda: site.platform.notices and not node.ledger.notifications)
         assert site.platform.notices[0]["message"] == "a1" and not site.far.got
 
     site.run(scene)
--- a/tests/test_endings_endpoint.py
+++ b/tests/test_endings_endpoint.py
@@ -13,7 +13,7 @@
 
 from juniperlanding.choice import SEC
 from juniperlanding.ground.seams import Network
-from juniperlanding.net.endpoints import Send
+from juniperlanding.net.endpoints import PushAttempt
 from juniperlanding.standins.peers import http
 
 BATCHED = WIRE | {"family_info": WIRE["family_info"] | {"batch_by_kind": [5, 5]}}
@@ -74,9 +74,9 @@
             site.nursery,
             "s-1",
             [
-                Send("a", 0, "", b"", soon, soon, soon),
-                Send("b", 0, "", b"", late, late, late),
-                Send("c", 0, "", b"", late, late, late),
+                PushAttempt("a", 0, "", b"", soon, soon, soon),
+                PushAttempt("b", 0, "", b"", late, late, late),
+                PushAttempt("c", 0, "", b"", late, late, late),
             ],
         )
         await site.until(lambda: outcomes)  # reported at once, not when the connection is established
@@ -84,7 +84,7 @@
         calls.network.go.set()
         await site.until(lambda: len(outcomes) == 3)
         assert [outcome[2] for outcome in outcomes] == ["moot", "delivered", "delivered"]
-        assert ids(site.far) == [["b", "c"]] and not calls.out
+        assert ids(site.far) == [["b", "c"]] and not calls.in_flight
 
     site.run(scene, each_accepted)
 
@@ -100,7 +100,7 @@
         calls.network.go.set()
         await site.until(lambda: len(outcomes) == 2)
         assert [(outcome[0], outcome[2]) for outcome in outcomes] == [("a", "moot"), ("b", "delivered")]
-        assert ids(site.far) == [["b"]] and not calls.out
+        assert ids(site.far) == [["b"]] and not calls.in_flight
 
     site.run(scene, each_accepted)
 
@@ -116,7 +116,7 @@
         calls.network.go.set()
         await site.until(lambda: calls.connection_limit.value == 8)
         assert {outcome[2] for outcome in outcomes} <= {"moot", "unreachable"}
-        assert not site.far.connections and not calls.out
+        assert not site.far.connections and not calls.in_flight
 
     site.run(scene, each_accepted)
 
@@ -135,7 +135,7 @@
         await site.until(lambda: {notice["message"] for notice in site.platform.notices} == {"a", "b"})
         assert all(notice["outcome"] == "handed_back" for notice in site.platform.notices)
         site.world.network.go.set()
-        await site.until(lambda: node.counters["pushes_delivered"] and not node.ledger.owed)
+        await site.until(lambda: node.counters["pushes_delivered"] and not node.ledger.notifications)
         assert ids(site.far) == [["c"]]
         # A notice may be posted twice.
         # Compared as a set, since a notice that is posted twice does no harm.
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -196,15 +196,15 @@
 def test_a_disk_that_has_room_again_is_told_with_how_long_it_took(site):
     async def scene(site):
         node = await site.start()
-        append = node.ledger.added
+        append = node.ledger.append
 
         def failing(data):
             raise OSError(errno.ENOSPC, "No space left on device")
 
-        node.ledger.added = failing
+        node.ledger.append = failing
         assert await site.submit("a1") == 503
         await trio.sleep(0.2)
-        node.ledger.added = append
+        node.ledger.append = append
         await site.until(lambda: not node.decision_loop.ledger_failing)
         assert await site.submit("a2") == 202
         texts = [text for event, text in site.lines if event == "ledger"]
--- a/tests/test_gone_endpoint.py
+++ b/tests/test_gone_endpoint.py
@@ -19,7 +19,7 @@
         await node.decision_loop.enqueue(node.decision_loop.on_list_news, "whole", [])
         await site.until(lambda: endpoint.state == "gone")
         held.go.set()
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert not sent(site) and not node.counters[VIOLATIONS]
 
     site.run(scene)
--- a/tests/test_held.py
+++ b/tests/test_held.py
@@ -25,7 +25,7 @@
         site.far.go.set()  # the answer leaves as soon as this task waits
         await trio.lowlevel.checkpoint()
         time.sleep(max(0, until - (trio.current_time() - started)))
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         await trio.sleep(0.5)
 
     site.run(scene, lambda *message: "late")
@@ -56,7 +56,7 @@
 
         monkeypatch.setattr(node.decision_loop.notices, "add", suspend_and_add)
         assert await site.submit("a0", dest=8, ttl=300) == 202
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert [notice["message"] for notice in site.platform.notices] == ["a0"]
 
     site.run(scene, lambda *message: http(200))
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -358,6 +358,6 @@
         known.set()
         await wait_until_known(node, "ready", "s-2")
         assert first.state == state
-        assert state == "gone" or node.decision_loop.endpoints.book["s-1"] == site.far.address
+        assert state == "gone" or node.decision_loop.endpoints.addresses["s-1"] == site.far.address
 
     play(site, scene)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -25,8 +25,8 @@
 from juniperlanding.net import line as net_line
 from juniperlanding.net import protocol
 from juniperlanding.net.counters import Counters
-from juniperlanding.net.endpoints import Endpoints, Send
-from juniperlanding.net.ledger import Books, Ledger, line
+from juniperlanding.net.endpoints import Endpoints, PushAttempt
+from juniperlanding.net.ledger import Ledger, LedgerState, line
 from juniperlanding.net.line import Line
 from juniperlanding.net.node import Node
 from juniperlanding.net.owner import Answer
@@ -41,7 +41,7 @@
 
 
 def owed(site):
-    return Books().load(site.folder / "state" / "ledger").owed
+    return LedgerState().load(site.folder / "state" / "ledger").notifications
 
 
 # ---- from a client to an endpoint
@@ -51,7 +51,7 @@
     async def scene(site):
         node = await site.start()
         assert await site.submit("9b1f", "pay", body=b"\x00\xff", more="Idempotency-Key: k-1\r\n") == 202
-        await site.until(lambda: node.counters["pushes_delivered"] and not node.ledger.owed)
+        await site.until(lambda: node.counters["pushes_delivered"] and not node.ledger.notifications)
         ((first, headers, body),) = site.far.got
         assert first == "POST /v1/messages HTTP/1.1" and body == b"\x00\xff"
         assert (headers["x-trace-id"], headers["idempotency-key"]) == ("9b1f", "k-1")
@@ -66,7 +66,7 @@
         stream = await site.client()
         for number in "abc":
             assert await site.submit(number, stream=stream) == 202
-            await site.until(lambda: not node.ledger.owed)
+            await site.until(lambda: not node.ledger.notifications)
         assert (len(site.far.got), site.far.connections) == (3, 1)
 
     site.run(scene)
@@ -108,8 +108,8 @@
             site.nursery,
             "s-1",
             [
-                Send("a", 0, "", b"", first_end, first_end, first_end),
-                Send("b", 0, "", b"", second_end, second_end, second_end),
+                PushAttempt("a", 0, "", b"", first_end, first_end, first_end),
+                PushAttempt("b", 0, "", b"", second_end, second_end, second_end),
             ],
         )
         await site.until(lambda: site.far.got)
@@ -171,7 +171,7 @@
         calls.start(site.nursery, "s-1", [send("a", SEC // 5)])
         await site.until(lambda: outcomes)
         assert (outcomes[0][2], outcomes[0][5]) == (ending, ending == "delivered" or answer == http(410))
-        assert not calls.out
+        assert not calls.in_flight
         await site.until(lambda: 8 - calls.connection_limit.value == sum(map(len, calls.idle.values())))
 
     site.run(scene, lambda *message: answer)
@@ -234,7 +234,7 @@
         calls = await endpoints(site, outcomes)
         for number in "ab":
             calls.start(site.nursery, "s-1", [send(number)])
-            await site.until(lambda: not calls.out)
+            await site.until(lambda: not calls.in_flight)
         assert [outcome[2] for outcome in outcomes] == endings
 
     site.run(scene, answer)
@@ -243,7 +243,7 @@
 def send(number, wait=SEC):
     """One notification of a call, which times out after `wait`."""
     now = CLOCK.now()
-    return Send(number, 0, "", b"x", now + wait, now + SEC, now + wait)
+    return PushAttempt(number, 0, "", b"x", now + wait, now + SEC, now + wait)
 
 
 async def endpoints(site, outcomes, most_open=8):
@@ -251,7 +251,7 @@
     calls = Endpoints(
         site.config(), world, most_open, partial(record_outcomes, outcomes), Counters(), site.log
     )
-    calls.book["s-1"] = site.far.address
+    calls.addresses["s-1"] = site.far.address
     return calls
 
 
@@ -265,7 +265,7 @@
     with socket.create_server(("127.0.0.1", 0)) as listener:
         thread = threading.Thread(target=serve, args=(listener,))
         thread.start()
-        calls.book["s-1"] = listener.getsockname()
+        calls.addresses["s-1"] = listener.getsockname()
         yield
         calls.close_idle("s-1")
         thread.join()
@@ -305,7 +305,7 @@
                     net_line, "LAST_BYTE_DELAY", delay if kept and number == "a" else float("inf")
                 )
                 calls.start(site.nursery, "s-1", [send(number)])
-                await site.until(lambda: not calls.out)
+                await site.until(lambda: not calls.in_flight)
         assert [outcome[2] for outcome in outcomes] == endings and len(requests) == len(endings) * kept
 
     site.run(scene)
@@ -316,7 +316,7 @@
 
     async def scene(site):
         calls = await endpoints(site, outcomes)
-        calls.book["s-1"] = ("127.0.0.1", 1)
+        calls.addresses["s-1"] = ("127.0.0.1", 1)
         calls.start(site.nursery, "s-1", [send("a")])
         await site.until(lambda: outcomes)
         assert outcomes[0][2] == "unreachable" and calls.connection_limit.value == 8
@@ -370,7 +370,7 @@
         calls = await endpoints(site, outcomes)
         with endpoint_in_thread(serve, calls):
             calls.start(site.nursery, "s-1", [send("a", SEC // 10)])
-            await site.until(lambda: ("a", 0) in calls.out and calls.out["a", 0].written)
+            await site.until(lambda: ("a", 0) in calls.in_flight and calls.in_flight["a", 0].written)
             time.sleep(0.2)  # blocks this process past the time-out
             await site.until(lambda: outcomes)
         assert outcomes[0][2] == "delivered"
@@ -416,7 +416,7 @@
         calls = await endpoints(site, outcomes)
         for number in "ab":
             calls.start(site.nursery, "s-1", [send(number)])
-            await site.until(lambda: not calls.out)
+            await site.until(lambda: not calls.in_flight)
             await site.until(lambda: 8 - calls.connection_limit.value == len(calls.idle.get("s-1", [])))
             for idle in calls.idle.get("s-1", []):
                 idle.used_at -= 9.6 * SEC
@@ -431,10 +431,10 @@
     async def scene(site):
         calls = await endpoints(site, outcomes, most_open=1)
         other = await Far().open(site.nursery)
-        calls.book["s-2"] = other.address
+        calls.addresses["s-2"] = other.address
         for number, endpoint in (("a", "s-1"), ("b", "s-2")):
             calls.start(site.nursery, endpoint, [send(number)])
-            await site.until(lambda: not calls.out)
+            await site.until(lambda: not calls.in_flight)
         assert [outcome[2] for outcome in outcomes] == ["delivered"] * 2 and calls.connection_limit.value == 0
         calls.close_idle("s-2")
         assert calls.connection_limit.value == 1
@@ -467,15 +467,15 @@
             listener.bind(("127.0.0.1", 0))
             listener.listen(0)
             queued = [await trio.open_tcp_stream(*listener.getsockname())]
-            node.decision_loop.endpoints.book["s-1"] = listener.getsockname()
+            node.decision_loop.endpoints.addresses["s-1"] = listener.getsockname()
             assert await site.submit("a1", "order") == 202
-            await site.until(lambda: node.decision_loop.endpoints.out)
+            await site.until(lambda: node.decision_loop.endpoints.in_flight)
             news = protocol.entries([member(1, listener.getsockname(), phase)], ["m1"], ["a"])
             await node.decision_loop.enqueue(node.decision_loop.on_list_news, "changes", news)
             await site.until(lambda: node.counters["pushes_moot"])
             # The push was called back before it left, so the ledger has no record of it.
             assert node.decision_loop.dispatcher.state.notifications["a1"].pushes == 1 and queued
-            assert not node.ledger.owed["a1"].pushes and not owed(site)["a1"].pushes
+            assert not node.ledger.notifications["a1"].pushes and not owed(site)["a1"].pushes
 
     site.run(scene)
 
@@ -494,7 +494,7 @@
         await site.start()
         await site.submit("a1", "order")
         await site.until(lambda: found)
-        assert (found[0].id, found[0].pushes, len(found[0].ran)) == ("a1", 1, 1)
+        assert (found[0].id, found[0].pushes, len(found[0].possible_runs)) == ("a1", 1, 1)
 
     site.run(scene, answer)
 
@@ -508,7 +508,7 @@
         site.kill()
         site.far.answer = lambda *message: http(200)
         node = await site.start()
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert [notice["message"] for notice in site.platform.notices] == notices
         assert len(site.far.got) == calls
 
@@ -523,10 +523,10 @@
         site.kill()
         node = await site.start()
         await site.until(lambda: node.decision_loop.ready)
-        assert node.ledger.owed["a1"].ttl_at == first
+        assert node.ledger.notifications["a1"].ttl_at == first
         found = protocol.entries([member(2, site.far.address, cell=8)], ["m1"], ["a"])
         await node.decision_loop.enqueue(node.decision_loop.on_list_news, "changes", found)
-        await site.until(lambda: site.far.got and not node.ledger.owed)
+        await site.until(lambda: site.far.got and not node.ledger.notifications)
 
     site.run(scene)
 
@@ -534,9 +534,9 @@
 @pytest.mark.parametrize("garbage", [b"", b'0badc0de ["e","a1"]\n', b"\xff\xfe\n\n"])
 def test_a_torn_last_record_is_skipped(tmp_path, garbage):
     ledger = Ledger(tmp_path, 1 << 20)
-    ledger.take("a1", "news", 7, 5 * SEC, "", b"hello")
+    ledger.add_accepted("a1", "news", 7, 5 * SEC, "", b"hello")
     ledger.flush()
-    ledger.take("a2", "news", 7, 5 * SEC, "", b"hello")
+    ledger.add_accepted("a2", "news", 7, 5 * SEC, "", b"hello")
     ledger.close()
     with open(tmp_path / "ledger", "r+b") as file:
         content = file.read()
@@ -544,24 +544,24 @@
         file.seek(0, os.SEEK_END)
         file.write(garbage)
     reopened = Ledger(tmp_path, 1 << 20)
-    assert list(reopened.owed) == ["a1"] and reopened.skipped >= 1
+    assert list(reopened.notifications) == ["a1"] and reopened.invalid_lines >= 1
     reopened.close()
-    assert Books().load(tmp_path / "ledger").skipped == 0
+    assert LedgerState().load(tmp_path / "ledger").invalid_lines == 0
 
 
 def test_a_foreign_record_does_not_stop_the_start(tmp_path):
     ledger = Ledger(tmp_path, 1 << 20)
-    ledger.take("a1", "news", 7, 5 * SEC, "", b"hello")
-    ledger.pending += [line(record) for record in (["z"], 7, ["p", "a1"], ["t", "a2"], {"e": "a1"})]
+    ledger.add_accepted("a1", "news", 7, 5 * SEC, "", b"hello")
+    ledger.unwritten += [line(record) for record in (["z"], 7, ["p", "a1"], ["t", "a2"], {"e": "a1"})]
     ledger.close()
     reopened = Ledger(tmp_path, 1 << 20)
-    assert list(reopened.owed) == ["a1"] and reopened.skipped == 5
+    assert list(reopened.notifications) == ["a1"] and reopened.invalid_lines == 5
     reopened.close()
 
 
 def test_never_ran_and_may_have_run_survive_compaction(tmp_path):
     ledger = Ledger(tmp_path, 1 << 20)
-    ledger.take("a1", "order", 7, 5 * SEC, "k", b"x")
+    ledger.add_accepted("a1", "order", 7, 5 * SEC, "k", b"x")
     for record in (
         ["p", "a1", 0, 3, 100],
         ["n", "a1", 0],
@@ -569,12 +569,12 @@
         ["p", "a1", 2, 4, 300],
         ["n", "a1", 2],
     ):
-        ledger.write(*record)
-    ledger.take("a2", "order", 7, 5 * SEC, "", b"")
-    ledger.write("o", "a2", "given_up", 0)
+        ledger.append_record(*record)
+    ledger.add_accepted("a2", "order", 7, 5 * SEC, "", b"")
+    ledger.append_record("o", "a2", "given_up", 0)
     ledger.compact()
-    found = Books().load(tmp_path / "ledger").owed
-    assert (found["a1"].pushes, found["a1"].ran) == (3, {1: (2, 200)})
+    found = LedgerState().load(tmp_path / "ledger").notifications
+    assert (found["a1"].pushes, found["a1"].possible_runs) == (3, {1: (2, 200)})
     assert found["a2"].notice == ("given_up", 0)
 
 
@@ -583,28 +583,31 @@
     ledger = Ledger(tmp_path, 200_000)
     largest = 0
     for number in range(3000):
-        if ledger.room(300):
-            ledger.take(f"a{number}", "news", 7, SEC, "", b"x" * 300)
+        if ledger.has_room(300):
+            ledger.add_accepted(f"a{number}", "news", 7, SEC, "", b"x" * 300)
         if number % 2:
-            ledger.write("p", f"a{number}", 0, 0, 1)
-        if number > 100 and number % 3 and ledger.owed:
-            ledger.write("e", next(iter(ledger.owed)))
+            ledger.append_record("p", f"a{number}", 0, 0, 1)
+        if number > 100 and number % 3 and ledger.notifications:
+            ledger.append_record("e", next(iter(ledger.notifications)))
         ledger.flush()
-        largest = max(largest, ledger.file_size + ledger.most_owed + ledger.most_over)
-    assert largest < disk and 10 < len(ledger.owed) < 200 and not ledger.room(60_000)
-    assert list(Books().load(tmp_path / "ledger").owed) == list(ledger.owed)
+        largest = max(largest, ledger.file_size + ledger.max_pending_size + ledger.max_ended_size)
+    assert largest < disk and 10 < len(ledger.notifications) < 200 and not ledger.has_room(60_000)
+    assert list(LedgerState().load(tmp_path / "ledger").notifications) == list(ledger.notifications)
 
 
 def test_a_full_ledger_is_mostly_filled(tmp_path):
     ledger = Ledger(tmp_path, 200_000)
-    while ledger.room(600):
-        ledger.take(f"a{len(ledger.owed)}", "news", 7, SEC, "", b"x" * 600)
-        ledger.write("p", f"a{len(ledger.owed) - 1}", 0, 0, 1)
-    size_before = ledger.owed_size
+    while ledger.has_room(600):
+        ledger.add_accepted(f"a{len(ledger.notifications)}", "news", 7, SEC, "", b"x" * 600)
+        ledger.append_record("p", f"a{len(ledger.notifications) - 1}", 0, 0, 1)
+    size_before = ledger.pending_size
     ledger.close()
     reopened = Ledger(tmp_path, 200_000)
-    assert reopened.most_owed / 2 < reopened.file_size < reopened.most_owed and not reopened.room(600)
-    assert abs(reopened.owed_size - size_before) < len(reopened.owed) * 2
+    assert (
+        reopened.max_pending_size / 2 < reopened.file_size < reopened.max_pending_size
+        and not reopened.has_room(600)
+    )
+    assert abs(reopened.pending_size - size_before) < len(reopened.notifications) * 2
     reopened.close()
 
 
@@ -615,14 +618,14 @@
         node = await site.start()
         assert await site.submit("a1", "order") == 202
         await site.until(lambda: site.far.got)
-        node.ledger.owed["a1"].ttl_at = site.world.clock.now() + int(left * SEC)
+        node.ledger.notifications["a1"].ttl_at = site.world.clock.now() + int(left * SEC)
         await node.decision_loop.enqueue(
             node.decision_loop.on_outcomes,
             "s-1",
             [("a1", 0, ending, SEC, 0, True, None)],
             site.world.clock.now(),
         )
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert [notice["message"] for notice in site.platform.notices] == notices
         assert node.counters["svc.results.order.succeeded"] == (ending == "delivered" and left > 0)
 
@@ -632,13 +635,13 @@
 def test_when_the_disk_fails_nothing_leaves_and_clients_are_refused(site):
     async def scene(site):
         node = await site.start()
-        added, node.ledger.added = node.ledger.added, fail_to_write
+        added, node.ledger.append = node.ledger.append, fail_to_write
         assert await site.submit("a1") == 503
         assert await site.submit("a1") == 503  # refused at once, while the decision loop waits for the disk
-        node.ledger.added = added
+        node.ledger.append = added
         await site.until(lambda: not node.decision_loop.ledger_failing)
         assert await site.submit("a2") == 202
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert [headers["x-trace-id"] for _, headers, _ in site.far.got] == ["a2"]
         assert node.decision_loop.dispatcher.state.slots_out == 0
 
@@ -658,7 +661,7 @@
         assert await site.submit("a1", "order") == 202  # sent, and unanswered
         assert await site.submit("a2", dest=8, ttl=600) == 202  # waits, since its only endpoint drains
         await site.until(lambda: site.far.got)
-        added, node.ledger.added = node.ledger.added, fail_to_write
+        added, node.ledger.append = node.ledger.append, fail_to_write
         assert await site.submit("a3") == 503
         gate.set()
         decision_loop.cancels_due.clear()
@@ -674,8 +677,8 @@
         assert [notice["message"] for notice in site.platform.notices] == [
             "a2"
         ] and decision_loop.ledger_failing
-        node.ledger.added = added
-        await site.until(lambda: not node.ledger.pending and not node.ledger.owed)
+        node.ledger.append = added
+        await site.until(lambda: not node.ledger.unwritten and not node.ledger.notifications)
         assert [notice["message"] for notice in site.platform.notices] == ["a2"]
 
     site.run(scene, silent)
@@ -685,13 +688,13 @@
     async def scene(site):
         node = await site.start()
         assert await site.submit("a1", dest=8, ttl=600) == 202  # waits, since its only endpoint drains
-        node.ledger.added = fail_to_write
+        node.ledger.append = fail_to_write
         assert await site.submit("a2") == 503
         await site.until(lambda: site.platform.notices)
         assert node.decision_loop.ledger_failing
         site.kill()
         node = await site.start()
-        await site.until(lambda: not node.ledger.owed and not node.ledger.pending)
+        await site.until(lambda: not node.ledger.notifications and not node.ledger.unwritten)
         ends = [(notice["message"], notice["outcome"]) for notice in site.platform.notices]
         assert len(ends) == 2 and set(ends) == {("a1", "given_up")}
 
@@ -704,12 +707,12 @@
         assert await site.submit("a1", "order") == 202
         await site.until(lambda: site.far.got)
         heard_at = site.world.clock.now()
-        node.ledger.owed["a1"].ttl_at = heard_at + SEC // 5
+        node.ledger.notifications["a1"].ttl_at = heard_at + SEC // 5
         await trio.sleep(0.21)
         await node.decision_loop.enqueue(
             node.decision_loop.on_outcomes, "s-1", [("a1", 0, "delivered", SEC, 0, True, None)], heard_at
         )
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert not site.platform.notices and node.counters["svc.results.order.succeeded"] == 1
 
     site.run(scene, silent)
@@ -717,7 +720,7 @@
 
 def test_half_a_record_that_could_not_be_cut_off_is_cut_off_before_the_next(tmp_path):
     ledger = Ledger(tmp_path, 200_000)
-    ledger.take("a1", "news", 7, 1 << 62, "", b"x")
+    ledger.add_accepted("a1", "news", 7, 1 << 62, "", b"x")
     write = ledger.files.write
     truncate = ledger.files.truncate
 
@@ -740,14 +743,14 @@
     ledger.files.truncate = truncate
     ledger.flush()
     reopened = Ledger(tmp_path, 200_000)
-    assert list(reopened.owed) == ["a1"] and not reopened.skipped
+    assert list(reopened.notifications) == ["a1"] and not reopened.invalid_lines
 
 
 def test_an_end_that_cannot_be_written_is_told_and_does_not_break(site):
     async def scene(site):
         node = await site.start()
         assert await site.submit("a1", dest=8) == 202
-        node.ledger.added = fail_to_write
+        node.ledger.append = fail_to_write
         node.decision_loop.record_end("a1")
         assert not node.close() and any("could not be written" in text for _, text in site.lines)
 
@@ -783,7 +786,7 @@
             site.kill()
             node = await site.start()
         site.platform.notice_status = 204
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert site.platform.notices == [{"message": "a1", "outcome": "given_up"}]
 
     site.run(scene, silent)
@@ -823,7 +826,7 @@
     async def scene(site):
         node = await site.start()
         assert await site.submit("a1", ttl=0) == 503
-        assert not node.ledger.owed
+        assert not node.ledger.notifications
         assert site.platform.notices == [] and node.counters["faults"] == 0
 
     site.run(scene)
@@ -1047,7 +1050,7 @@
     async def scene(site):
         node = await site.start()
         assert await site.submit("a1", "order", ttl=300) == 202
-        await site.until(lambda: site.far.got and not node.ledger.owed)
+        await site.until(lambda: site.far.got and not node.ledger.notifications)
         assert await site.submit("a1", "order") == 202
         assert node.counters["taken_on"] == 1 and len(site.far.got) == 1
         await site.until(lambda: not node.decision_loop.known_ids)
@@ -1089,7 +1092,7 @@
         stream.socket.close()
         await site.until(lambda: not node.clients.open)
         await trio.sleep(0.02)
-        assert list(node.ledger.owed) == ["a1"] and node.counters["unheard"] == 0
+        assert list(node.ledger.notifications) == ["a1"] and node.counters["unheard"] == 0
 
     site.run(scene)
 
@@ -1099,7 +1102,7 @@
         node = await site.start()
         await site.submit("a1", dest=8)
         await node.decision_loop.enqueue(node.decision_loop.undo_unheard, Answer("a1"))
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert not node.decision_loop.unfinished and not node.decision_loop.dispatcher.state.notifications
 
     site.run(scene)
@@ -1172,7 +1175,7 @@
         assert [headers["x-trace-id"] for _, headers, _ in site.far.got] == ["a1", "a3"]
         assert list(owed(site)) == ["a2"]
         node = await site.start()
-        await site.until(lambda: node.counters["pushes_delivered"] and not node.ledger.owed)
+        await site.until(lambda: node.counters["pushes_delivered"] and not node.ledger.notifications)
         assert site.far.got[-1][1]["x-trace-id"] == "a2" and not site.platform.notices
 
     site.run(scene)
@@ -1275,7 +1278,7 @@
         )
         assert await site.submit("a1") == 503
         node.decision_loop.dispatcher.notification = notification
-        assert await site.submit("a2") == 202 and "a1" not in node.ledger.owed
+        assert await site.submit("a2") == 202 and "a1" not in node.ledger.notifications
 
     site.run(scene)
 
@@ -1284,7 +1287,7 @@
     async def scene(site):
         node = Node(site.config(), site.world, log=site.log)
         for number, ttl_at in (("a1", "soon"), ("a2", site.world.clock.now() + SEC)):
-            node.ledger.take(number, "news", 8, ttl_at, "", b"")
+            node.ledger.add_accepted(number, "news", 8, ttl_at, "", b"")
         node.decision_loop.start_module([])
         assert node.decision_loop.ready and node.counters["faults"] == 1
         assert list(node.decision_loop.dispatcher.state.notifications) == ["a2"]
@@ -1325,7 +1328,7 @@
     async def scene(site):
         node = await site.start()
         assert await site.submit("a1", "order", ttl=9000) == 202
-        await site.until(lambda: node.counters["pushes_delivered"] and not node.ledger.owed)
+        await site.until(lambda: node.counters["pushes_delivered"] and not node.ledger.notifications)
         for is_compacted in (False, True):
             site.kill()
             node = await site.start()
@@ -1333,7 +1336,7 @@
                 node.ledger.compact()
             assert await site.submit("a1", "order", ttl=9000) == 202
         await trio.sleep(0.05)
-        assert len(site.far.got) == 1 and not node.ledger.owed
+        assert len(site.far.got) == 1 and not node.ledger.notifications
 
     site.run(scene)
 
@@ -1341,14 +1344,14 @@
 def test_what_was_refused_or_taken_back_is_not_remembered_as_over(tmp_path):
     ledger = Ledger(tmp_path, 100_000)
     for number, record in enumerate("xe" * 200):
-        ledger.take(f"a{number}", "news", 7, 5 * SEC, "", b"")
-        ledger.write(record, f"a{number}")
+        ledger.add_accepted(f"a{number}", "news", 7, 5 * SEC, "", b"")
+        ledger.append_record(record, f"a{number}")
         ledger.flush()
     ledger.close()
     reopened = Ledger(tmp_path, 100_000)
-    assert "a399" in reopened.over and "a398" not in reopened.over
+    assert "a399" in reopened.ended and "a398" not in reopened.ended
     # The memory of what is over is bounded: the oldest are forgotten.
-    assert 50 < len(reopened.over) < 200 and reopened.over_size <= reopened.most_over
+    assert 50 < len(reopened.ended) < 200 and reopened.ended_size <= reopened.max_ended_size
     reopened.forget("a399")
     reopened.close()
 
@@ -1381,7 +1384,7 @@
 
         listeners = await site.nursery.start(trio.serve_tcp, attend, 0)
         calls = await endpoints(site, [])
-        calls.book["s-1"] = listeners[0].socket.getsockname()[:2]
+        calls.addresses["s-1"] = listeners[0].socket.getsockname()[:2]
         calls.start(site.nursery, "s-1", [send("a", wait=SEC // 20)])
         await site.until(lambda: ends)
         assert ends == ["reset"]
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -175,7 +175,7 @@
         assert await site.submit("a1", "order", ttl=500) == 202
         assert await site.submit("a2", "order", ttl=3500) == 202
         assert await last_accepted(seen, "a1", "a2") - started < 3.8
-        while node.ledger.owed:
+        while node.ledger.notifications:
             await trio.sleep(0.01)
 
     play(site, scene)
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -143,8 +143,8 @@
                     assert status == 202
                     accepted[number] = topic, cell
                 if cell == WORKING:
-                    await site.until(lambda number=number: number not in node.ledger.owed)
-        await site.until(lambda: not node.ledger.owed)
+                    await site.until(lambda number=number: number not in node.ledger.notifications)
+        await site.until(lambda: not node.ledger.notifications)
         assert not node.counters["faults"] and "fault" not in [event for event, _ in site.lines]
         notices = Counter(notice["message"] for notice in site.platform.notices)
         for number, (topic, cell) in accepted.items():
@@ -177,7 +177,7 @@
         for number in range(pending):
             assert await site.submit(f"n{number}", stream=stream, ttl=60_000) == 202
         site.far.go.set()
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert ids(site.far) == Counter(["first", *(f"n{number}" for number in range(pending))])
         assert len(site.far.got) == 1 + calls and not site.platform.notices
 
@@ -208,7 +208,7 @@
         node = await site.start()
         text = handed("X-Trace-Id: a1", "X-Qos: {0}", "X-Expires-In-Ms: 5000", "X-Customer: {0}")
         assert (await site.ask(text.replace(b"{0}", name.encode(written))))[0] == 202
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert ids(site.far) == {"a1": 1} and not site.platform.notices
         assert set(node.decision_loop.dispatcher.state.tenant_next_at) == {name}
         status, _ = await site.ask(b"GET /_counters HTTP/1.1\r\nHost: api\r\n\r\n")
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -149,7 +149,7 @@
         await a.start()
         await a.until(lambda: a.node.decision_loop.ready)
         assert objectives(a.node) == [2000, 700, 900]
-        assert [owed.under for owed in a.node.ledger.owed.values()] == [0, 1, 2]
+        assert [owed.policy_number for owed in a.node.ledger.notifications.values()] == [0, 1, 2]
         await a.in_force(2)
         # Another process takes over: it asks first, and has the module's records with their terms.
         told, life = a.config(), a.policy.accord.life
@@ -285,7 +285,7 @@
         assert 0 < float(a.headers["retry-after"]) < 1
         assert (await a.ask(b"GET /_health HTTP/1.1\r\nHost: api\r\n\r\n"))[0] == 503
         assert a.policy.unready().startswith("no licence")
-        assert not a.node.ledger.owed and a.node.counters["unlicensed"] == 1
+        assert not a.node.ledger.notifications and a.node.counters["unlicensed"] == 1
         with pytest.raises(Trouble, match="no licence"):
             a.policy.propose(a.write(PLAIN))
         await b.start()
@@ -293,7 +293,7 @@
         assert await a.offered("a1") == (202, "0")
         b.kill()
         await a.until(lambda: a.policy.unready())
-        assert await a.offered("a2") == (503, None) and "a1" in a.node.ledger.owed
+        assert await a.offered("a2") == (503, None) and "a1" in a.node.ledger.notifications
 
     three(scene, started=1)
 
@@ -309,7 +309,7 @@
         a.node.ledger.flush = slow
         assert (await a.offered("a1"))[0] == 503 and "retry-after" in a.headers
         a.node.ledger.flush, a.policy.holds = flush, holds
-        assert not a.node.ledger.owed and not decision_loop.unfinished and not a.far.got
+        assert not a.node.ledger.notifications and not decision_loop.unfinished and not a.far.got
         assert await a.offered("a1") == (202, "0")
         await a.until(lambda: len(a.far.got) == 1)
 
@@ -329,7 +329,7 @@
         a.node.decision_loop.execute_requests = released
         assert await a.offered("a1", "order") == (202, "0")  # its push has begun: a no would be untrue
         assert await a.offered("a2", "order") == (503, None)
-        assert [*a.node.ledger.owed] == ["a1"]
+        assert [*a.node.ledger.notifications] == ["a1"]
 
     three(scene)
 
@@ -419,10 +419,10 @@
 def test_the_ledger_has_a_number_only_under_a_policy(tmp_path):
     for number, fields in ((0, 7), (3, 8)):
         ledger = Ledger(str(tmp_path), 1 << 20)
-        ledger.take(f"a{number}", "news", 7, 9, "", b"hi", under=number)
-        assert ledger.pending[-1].count(b",") == fields - 1
+        ledger.add_accepted(f"a{number}", "news", 7, 9, "", b"hi", policy_number=number)
+        assert ledger.unwritten[-1].count(b",") == fields - 1
         ledger.close()
-    assert [owed.under for owed in Ledger(str(tmp_path), 1 << 20).owed.values()] == [0, 3]
+    assert [owed.policy_number for owed in Ledger(str(tmp_path), 1 << 20).notifications.values()] == [0, 3]
 
 
 # ---- the document
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -17,7 +17,7 @@
 from juniperlanding.ground.clock import Clock
 from juniperlanding.net import ledger as ledgers
 from juniperlanding.net import protocol
-from juniperlanding.net.ledger import Books, Ledger, line
+from juniperlanding.net.ledger import Ledger, LedgerState, line
 from juniperlanding.standins.peers import http, member
 
 
@@ -44,7 +44,7 @@
     node, stream = await site.start(), await site.client()
     for name in names:
         assert await site.submit(name, topic, stream, dest=8, ttl=20_000) == 202
-    assert not sent(site) and len(node.ledger.owed) == len(names)
+    assert not sent(site) and len(node.ledger.notifications) == len(names)
     site.kill()
 
 
@@ -69,7 +69,7 @@
         assert await site.submit("b0", "order") == 503  # at capacity, a new one is rejected
         assert not site.platform.notices and len(node.decision_loop.dispatcher.state.notifications) == 10
         await opened(site, node)
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert sorted(set(sent(site))) == names and not site.platform.notices
 
     site.run(scene)
@@ -85,7 +85,7 @@
         for name in ("b0", "b1", "b2"):
             assert await site.submit(name, "pay", dest=8) == 202  # worth twice as much, and newer
         await opened(site, node)
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert sorted(list(dict.fromkeys(sent(site)))[:3]) == ["a0", "a1", "a2"]
 
     site.run(scene)
@@ -211,7 +211,7 @@
             "members": [member(8, site.far.address, kind="m2", cell=8)],
         }
         node = await site.start()
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert set(all_sent(site)) == set(names) and not site.platform.notices
 
     def answer(first, headers, body):
@@ -275,7 +275,7 @@
     if not before:
         assert await site.submit(name, "pay") == 202
     await site.until(lambda: len(sent(site)) > before)
-    first = min(sent_at for _, sent_at in owed(site)[name].ran.values())
+    first = min(sent_at for _, sent_at in owed(site)[name].possible_runs.values())
     site.kill()
     return first
 
@@ -290,7 +290,7 @@
         site.far.answer = lambda *message: http(200)
         site.clock.set(first + int(after * WINDOW * SEC))
         node = await site.start()
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert len(sent(site)) == calls
         assert [notice["outcome"] for notice in site.platform.notices] == ["given_up"] * (2 - calls)
 
@@ -323,7 +323,7 @@
         await site.until(lambda: network.requested)
         await site.until(lambda: site.clock.now() > first + SEC)
         network.go.set()
-        await site.until(lambda: not node.ledger.owed and node.decision_loop.endpoints.settled())
+        await site.until(lambda: not node.ledger.notifications and node.decision_loop.endpoints.settled())
         assert len(site.far.got) == 1 and [notice["outcome"] for notice in site.platform.notices] == [
             "given_up"
         ]
@@ -338,7 +338,7 @@
         assert await pushed_and_killed(site) == first
         site.clock.set(first + SEC * 95 // 100)  # 0.45 s after the second push
         node = await site.start()
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert len(sent(site)) == 2 and [notice["outcome"] for notice in site.platform.notices] == [
             "given_up"
         ]
@@ -364,7 +364,7 @@
         await site.until(lambda: site.world.network.began == 1)
         new = await replaced(site)
         await site.until(lambda: site.world.network.began == 2)
-        assert old.counters["pushes_moot"] == 1 and list(new.decision_loop.endpoints.out) == [("a", 1)]
+        assert old.counters["pushes_moot"] == 1 and list(new.decision_loop.endpoints.in_flight) == [("a", 1)]
         assert not owed(site)["a"].pushes
         new.before.close()
         new.scope.cancel()
@@ -373,7 +373,7 @@
         await trio.testing.wait_all_tasks_blocked()
         site.world = world
         node = await site.start()
-        await site.until(lambda: node.decision_loop.ready and not node.ledger.owed)
+        await site.until(lambda: node.decision_loop.ready and not node.ledger.notifications)
         assert len(far_calls(site)) == 1 and not site.platform.notices
 
     site.run(scene)
@@ -386,13 +386,13 @@
             unused.bind(("127.0.0.1", 0))
             node = await site.start()
             await site.until(lambda: node.decision_loop.ready)
-            node.decision_loop.endpoints.book["s-1"] = unused.getsockname()
+            node.decision_loop.endpoints.addresses["s-1"] = unused.getsockname()
             assert await site.submit("a", topic, ttl=9000) == 202
             await site.until(lambda: node.counters["pushes_unreachable"] and owed(site)["a"].pushes)
             site.kill()
             await trio.testing.wait_all_tasks_blocked()
         before = owed(site)["a"]
-        assert not before.ran
+        assert not before.possible_runs
         site.told["known"] = {"complete": True, "members": []}  # nothing is sent, so the state stays
         node = await site.start()
         await site.until(lambda: node.decision_loop.ready)
@@ -401,7 +401,7 @@
         site.kill()
         del site.told["known"]
         node = await site.start()
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert len(far_calls(site)) == 1 and not site.platform.notices
 
     site.run(scene)
@@ -416,16 +416,16 @@
             calls, network = node.decision_loop.endpoints, site.world.network
             assert await site.submit("a", "order", ttl=9000) == 202
             for times in range(1, 4):
-                await site.until(lambda: network.began == times and calls.out)  # noqa: B023
+                await site.until(lambda: network.began == times and calls.in_flight)  # noqa: B023
                 if times == 3:
-                    calls.book["s-1"] = unused.getsockname()
+                    calls.addresses["s-1"] = unused.getsockname()
                 calls.recall({"s-1"})
             await site.until(lambda: node.counters["pushes_unreachable"] and owed(site)["a"].pushes)
             assert (
                 node.decision_loop.dispatcher.state.notifications["a"].pushes == 4
                 and node.counters["pushes_moot"] == 3
             )
-            assert owed(site)["a"].pushes == 1 and not owed(site)["a"].left
+            assert owed(site)["a"].pushes == 1 and not owed(site)["a"].was_sent
             site.kill()
 
     site.run(scene)
@@ -450,7 +450,9 @@
     }
     for _ in range(3):
         ledger = Ledger(tmp_path, 1 << 20)
-        assert {one.id: (one.pushes, one.left, one.ran) for one in ledger.owed.values()} == wanted
+        assert {
+            one.id: (one.pushes, one.was_sent, one.possible_runs) for one in ledger.notifications.values()
+        } == wanted
         ledger.close()
 
 
@@ -507,15 +509,15 @@
         for name in answers:
             assert await site.submit(name, "order", ttl=9000) == 202
         assert await site.submit("e1", "news", dest=8, ttl=9000) == 202
-        await site.until(lambda: len(sent(site)) == 4 and list(node.ledger.owed) == ["d1", "e1"])
+        await site.until(lambda: len(sent(site)) == 4 and list(node.ledger.notifications) == ["d1", "e1"])
         node.ledger.compact()
         site.kill()
 
     site.run(first, answer)
 
     async def later(site):
-        before = Books().load(path)
-        found, ended = dict(before.owed), dict(before.over)
+        before = LedgerState().load(path)
+        found, ended = dict(before.notifications), dict(before.ended)
         site.world = replace(site.world, files=files.files)
         clock.set(begun[0] + 3 * SEC)
         site.told["known"] = {
@@ -523,8 +525,8 @@
             "members": [member(1, site.far.address), member(8, site.far.address, cell=8)],
         }
         node = await site.start()
-        await site.until(lambda: node.decision_loop.ready and not node.ledger.owed)
-        ran = {name for name, one in found.items() if one.ran}
+        await site.until(lambda: node.decision_loop.ready and not node.ledger.notifications)
+        ran = {name for name, one in found.items() if one.possible_runs}
         noticed = {name for name, one in found.items() if one.notice}
         # Those that may have run or had ended get an outcome notice, all others a call, and none gets both.
         assert sorted(sent(site)) == sorted(found.keys() - ran - noticed)
@@ -539,8 +541,8 @@
     seen = set()
     for content in files.snapshots + halves:
         path.write_bytes(content)
-        books = Books().load(path)
-        if (state := repr((books.owed, books.over))) in seen:
+        books = LedgerState().load(path)
+        if (state := repr((books.notifications, books.ended))) in seen:
             continue  # a restart finds the same state as before
         seen.add(state)
         path.write_bytes(content)
@@ -569,15 +571,17 @@
     """Also where the damaged byte ends a record, or where the damage is a line feed within one."""
     whole = b"".join(map(line, [*ACCEPTED, record, *AFTER]))
     (tmp_path / "ledger").write_bytes(whole)
-    wanted = Books().load(tmp_path / "ledger")
+    wanted = LedgerState().load(tmp_path / "ledger")
     for position in range(len(whole)):
         if whole[position] != damage:
             (tmp_path / "ledger").write_bytes(whole[:position] + bytes([damage]) + whole[position + 1 :])
-            found = Books().load(tmp_path / "ledger")
-            assert (found.owed.keys(), found.over) == (wanted.owed.keys(), wanted.over), position
-            for name, one in wanted.owed.items():
-                one.size = found.owed[name].size  # counts the damaged line as it was read
-                assert found.owed[name] == one, position
+            found = LedgerState().load(tmp_path / "ledger")
+            assert (found.notifications.keys(), found.ended) == (wanted.notifications.keys(), wanted.ended), (
+                position
+            )
+            for name, one in wanted.notifications.items():
+                one.size = found.notifications[name].size  # counts the damaged line as it was read
+                assert found.notifications[name] == one, position
 
 
 def beyond_repair(record):
@@ -603,7 +607,7 @@
             Ledger(site.folder / "state", 1 << 20).close()
         node = await site.start()
         assert not node.ledger.damaged
-        await site.until(lambda: node.decision_loop.ready and not node.ledger.owed)
+        await site.until(lambda: node.decision_loop.ready and not node.ledger.notifications)
         abandoned = [] if topic == "news" else ["a0", "a1"]
         assert sorted(sent(site)) == sorted({"a0", "a1", "a2"} - set(abandoned))
         assert sorted(notice["message"] for notice in site.platform.notices) == abandoned
@@ -619,9 +623,16 @@
         + beyond_repair(["p", "a1", 0, 0, 5])
         + b"".join(map(line, AFTER))
     )
-    found = Books().load(tmp_path / "ledger")
-    assert found.damaged == 1 and found.owed["a0"].ran == {2: (1, SENT_AT)} and not found.owed["a2"].ran
-    assert min(sent_at for _, sent_at in found.owed["a1"].ran.values()) == 1 and not found.owed["a1"].pushes
+    found = LedgerState().load(tmp_path / "ledger")
+    assert (
+        found.damaged == 1
+        and found.notifications["a0"].possible_runs == {2: (1, SENT_AT)}
+        and not found.notifications["a2"].possible_runs
+    )
+    assert (
+        min(sent_at for _, sent_at in found.notifications["a1"].possible_runs.values()) == 1
+        and not found.notifications["a1"].pushes
+    )
 
 
 @pytest.mark.parametrize("left", [1, 9, 30])
@@ -629,8 +640,8 @@
     """The push that it describes was not sent, since the record is written first."""
     torn = line(["p", "a1", 0, 1, SENT_AT])[:-left]
     (tmp_path / "ledger").write_bytes(b"".join(map(line, ACCEPTED)) + torn)
-    found = Books().load(tmp_path / "ledger").owed
-    assert not found["a0"].ran and bool(found["a1"].ran) == (left == 1)
+    found = LedgerState().load(tmp_path / "ledger").notifications
+    assert not found["a0"].possible_runs and bool(found["a1"].possible_runs) == (left == 1)
 
 
 def test_a_file_that_is_damaged_throughout_is_read_in_time(tmp_path, monkeypatch):
@@ -643,7 +654,7 @@
 
     monkeypatch.setattr(ledgers, "repaired", counted)
     (tmp_path / "ledger").write_bytes(b"".join(map(line, ACCEPTED)) + (b"x" * 1000 + b"\n") * 2000)
-    assert Books().load(tmp_path / "ledger").damaged == 2000
+    assert LedgerState().load(tmp_path / "ledger").damaged == 2000
     assert sum(tried) < 6 * ledgers.MAX_REPAIR_SIZE  # each line alone, after a line feed, and with the next
 
 
@@ -656,5 +667,5 @@
         if whole[position : position + 1] == damage:
             continue
         (tmp_path / "ledger").write_bytes(whole[:position] + damage + whole[position + 1 :])
-        found = Books().load(tmp_path / "ledger").owed
+        found = LedgerState().load(tmp_path / "ledger").notifications
         assert set(found) >= set(names) - {names[3 * position // len(whole)]}, position
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -109,7 +109,7 @@
         await node.decision_loop.enqueue(node.decision_loop.on_list_news, "changes", found)
         await site.until(lambda: site.platform.notices and node.counters["withheld_expired"])
         monkeypatch.setattr(Line, "send_in_two", send_in_two)
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert sent(site) == ["a1"] and len(got(site.far)) == 1
         assert [notice["message"] for notice in site.platform.notices] == ["a0"]
 
@@ -207,7 +207,7 @@
         node = await site.start()
         node.decision_loop.trace.is_on = True
         assert await site.submit("a0") == 202
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert await site.submit("a1", dest=99) == 503
         steps = [text for event, text in site.lines if event == "trace"]
         assert [text.split()[0] for text in steps if "id=a0" in text] == ["taken", "sending", "delivered"]
@@ -220,7 +220,7 @@
     async def scene(site):
         node = await site.start()
         assert await site.submit("a0") == 202
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert not [1 for event, _ in site.lines if event == "trace"]
 
     site.run(scene)
@@ -240,7 +240,7 @@
     async def scene(site):
         node = await site.start()
         assert await site.submit("a0", "order", ttl=500) == 202
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert not got(site.far) and not node.counters["svc.forwards"]
         assert [notice["message"] for notice in site.platform.notices] == ["a0"]
 
--- a/tests/test_same_id.py
+++ b/tests/test_same_id.py
@@ -22,7 +22,7 @@
         answers = [submit(node.decision_loop, "a0", ttl_at) for _ in range(2)]
         for answer in answers:
             await answer.ready.wait()
-        assert [answer.status for answer in answers] == [503, 503] and not node.ledger.owed
+        assert [answer.status for answer in answers] == [503, 503] and not node.ledger.notifications
 
     site.run(scene)
 
--- a/tests/test_several.py
+++ b/tests/test_several.py
@@ -7,13 +7,13 @@
 from test_net import CLOCK, endpoints
 
 from juniperlanding.choice import SEC
-from juniperlanding.net.endpoints import Send
+from juniperlanding.net.endpoints import PushAttempt
 from juniperlanding.standins.peers import read_message
 
 
 def send_lasting(number, seconds):
     until = CLOCK.now() + int(seconds * SEC)
-    return Send(number, 0, "", b"x", until, until, until)
+    return PushAttempt(number, 0, "", b"x", until, until, until)
 
 
 def test_the_message_with_the_latest_time_limit_comes_first_in_a_call(site):
@@ -26,8 +26,8 @@
     async def attend(stream):
         _, _, body = await read_message(stream, bytearray())
         order.extend(item["id"] for item in json.loads(body))
-        call = calls.out["short", 0]  # time it out without waiting for the clock
-        await calls.tell(call, [(send, "timeout") for send in call.sends if send.id == "short"])
+        call = calls.in_flight["short", 0]  # time it out without waiting for the clock
+        await calls.report_outcomes(call, [(send, "timeout") for send in call.pushes if send.id == "short"])
         state = "fault" if order[0] in {outcome[0] for outcome in outcomes} else "accepted"
         await stream.send_all(http(200, json.dumps([{"id": one, "state": state} for one in order]).encode()))
 
@@ -35,7 +35,7 @@
         nonlocal calls
         listeners = await site.nursery.start(trio.serve_tcp, attend, 0)
         calls = await endpoints(site, outcomes)
-        calls.book["s-1"] = listeners[0].socket.getsockname()[:2]
+        calls.addresses["s-1"] = listeners[0].socket.getsockname()[:2]
         calls.start(
             site.nursery,
             "s-1",
