--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -11,7 +11,7 @@
 from juniperlanding.emulator.disk import Disk, Killed, Mount, Plan
 from juniperlanding.emulator.growth import Score, run
 from juniperlanding.net import config
-from juniperlanding.net.ledger import Books, Ledger
+from juniperlanding.net.ledger import Ledger, LedgerState
 from juniperlanding.net.ledger import Split as StillSplit
 from juniperlanding.shards.books import PLACES, Damaged, NoRoom, Sharded, held, place, ranges
 from juniperlanding.shards.growth import Growth
@@ -23,8 +23,8 @@
 def told(books):
     """id: what is owed of it, in a form that can be compared."""
     return {
-        one.id: (one.destination, one.pushes, tuple(sorted(one.ran)), one.notice)
-        for one in books.owed.values()
+        one.id: (one.destination, one.pushes, tuple(sorted(one.possible_runs)), one.notice)
+        for one in books.notifications.values()
     }
 
 
@@ -59,11 +59,11 @@
             while not done and ledger.rewrite:
                 done = ledger.copy(most=700)
                 n += 1
-                ledger.take(f"n{n}", "news", n, 9 * SEC, "", b"hi")
-                ledger.write("p", f"n{n - 3}", 0, 1, 5)
-                if f"n{n - 5}" in ledger.owed:
-                    ledger.write("o" if n % 2 else "e", f"n{n - 5}", *(("done", 0) if n % 2 else ()))
-                    self.over |= {f"n{n - 5}"} - ledger.owed.keys()
+                ledger.add_accepted(f"n{n}", "news", n, 9 * SEC, "", b"hi")
+                ledger.append_record("p", f"n{n - 3}", 0, 1, 5)
+                if f"n{n - 5}" in ledger.notifications:
+                    ledger.append_record("o" if n % 2 else "e", f"n{n - 5}", *(("done", 0) if n % 2 else ()))
+                    self.over |= {f"n{n - 5}"} - ledger.notifications.keys()
                 self.flush()
             if ledger.rewrite is rewrite:
                 ledger.secure(rewrite)
@@ -75,12 +75,12 @@
     def play(self):
         ledger = self.open()
         for n in range(24):
-            ledger.take(f"a{n}", "news", n, 9 * SEC, "", b"x" * 40)
+            ledger.add_accepted(f"a{n}", "news", n, 9 * SEC, "", b"x" * 40)
             if n % 2:
-                ledger.write("p", f"a{n}", 0, 1, 7)  # may have run
+                ledger.append_record("p", f"a{n}", 0, 1, 7)  # may have run
         self.flush()
         for n in range(0, 24, 6):
-            ledger.write("e", f"a{n}")
+            ledger.append_record("e", f"a{n}")
             self.over.add(f"a{n}")
         self.flush()
         self.begin(ledger.shards[:1], [0, 30_000, PLACES] if len(ledger.shards) == 1 else [0, 30_000])
@@ -104,17 +104,21 @@
     mount = Mount(work.disk)
     work.disk.plan.at.clear()
     found = held(mount, FOLDER)
-    for key in {one for books in found for one in books.owed}:
-        assert sum(key in books.owed for books in found) == 1, key
+    for key in {one for books in found for one in books.notifications}:
+        assert sum(key in books.notifications for books in found) == 1, key
     seen = {key: value for books in found for key, value in told(books).items()}
     for key in work.sure.keys() | work.may.keys() | seen.keys():
         assert seen.get(key) in (work.sure.get(key), work.may.get(key)), key
     for (low, high, _), books in zip(ranges(mount, FOLDER), found, strict=True):
-        assert all(low <= place(one.destination) < high for one in books.owed.values())
+        assert all(low <= place(one.destination) < high for one in books.notifications.values())
     again = work.open()
-    assert told(again) == seen and again.owed_size == sum(one.size for one in again.owed.values())
-    over = {one for books in found for one in books.over} - seen.keys()
-    assert again.over.keys() == over if again.over_size < again.most_over // 2 else again.over.keys() <= over
+    assert told(again) == seen and again.pending_size == sum(one.size for one in again.notifications.values())
+    over = {one for books in found for one in books.ended} - seen.keys()
+    assert (
+        again.ended.keys() == over
+        if again.ended_size < again.max_ended_size // 2
+        else again.ended.keys() <= over
+    )
     named = {name for *_, name in ranges(Mount(work.disk), FOLDER)}
     assert {path.rpartition("/")[2] for path in work.disk.files} - {"shards"} == named
     return again
@@ -138,7 +142,7 @@
             killed = True
         assert killed or fault == "kill_after"  # which a read has not
         over = work.over - work.may.keys() - work.sure.keys()
-        assert over <= looked_at(work).over.keys(), call
+        assert over <= looked_at(work).ended.keys(), call
 
 
 @pytest.mark.parametrize("fault", ["short", errno.ENOSPC, errno.EIO])
@@ -151,7 +155,7 @@
             if not work.sure:
                 continue
         again = looked_at(work)
-        assert work.may == told(again) and work.over <= again.over.keys() | again.owed.keys(), call
+        assert work.may == told(again) and work.over <= again.ended.keys() | again.notifications.keys(), call
 
 
 @pytest.mark.parametrize("first", ["kill_after", errno.EIO])
@@ -169,12 +173,12 @@
     work = Work()
     ledger = work.open()
     for n in range(24):
-        ledger.take(f"a{n}", "news", n, 9 * SEC, "", b"x" * 900)
+        ledger.add_accepted(f"a{n}", "news", n, 9 * SEC, "", b"x" * 900)
     work.flush()
     work.disk.plan.capacity = work.disk.used() + 4096
     work.begin(ledger.shards[:], [0, 30_000, PLACES])
-    assert ledger.given_up == 1 and len(ledger.shards) == 1 and not ledger.torn
-    ledger.take("b", "news", 1, 9 * SEC, "", b"x" * 1500)  # the room of the copy is free again
+    assert ledger.given_up == 1 and len(ledger.shards) == 1 and not ledger.has_partial_record
+    ledger.add_accepted("b", "news", 1, 9 * SEC, "", b"x" * 1500)  # the room of the copy is free again
     work.flush()
     work.disk.plan.capacity = None
     looked_at(work)
@@ -184,10 +188,10 @@
     work, most = Work(), 0
     ledger = work.open()
     for n in range(3000):
-        if ledger.room(300):
-            ledger.take(f"c{n}", "news", n, 9 * SEC, "", b"x" * 300)
+        if ledger.has_room(300):
+            ledger.add_accepted(f"c{n}", "news", n, 9 * SEC, "", b"x" * 300)
         if n > 60 and n % 3:
-            ledger.write("e", next(iter(ledger.owed)))
+            ledger.append_record("e", next(iter(ledger.notifications)))
         if n % 40 == 20 and not ledger.rewrite:
             old = ledger.shards[n % len(ledger.shards) :][:1]
             middle = [] if old[0].high - old[0].low < 9000 else [(old[0].low + old[0].high) // 2]
@@ -214,7 +218,7 @@
 def test_one_file_again_is_a_ledger_that_is_read_without_shards(tmp_path):
     ledger = Sharded(str(tmp_path), ROOM)
     for n in range(50):
-        ledger.take(f"a{n}", "news", n, 9 * SEC, "k", b"x")
+        ledger.add_accepted(f"a{n}", "news", n, 9 * SEC, "k", b"x")
     ledger.flush()
     for edges in ([0, 1000, PLACES], [0, PLACES]):
         rewrite = ledger.begin(ledger.shards[:], edges)
@@ -225,7 +229,7 @@
         ledger.sweep()
         assert ("shards" in os.listdir(tmp_path)) == (len(edges) == 3)
     ledger.close()
-    assert os.listdir(tmp_path) == ["ledger"] and len(Ledger(str(tmp_path), ROOM).owed) == 50
+    assert os.listdir(tmp_path) == ["ledger"] and len(Ledger(str(tmp_path), ROOM).notifications) == 50
 
 
 def test_what_was_ended_in_one_shard_and_taken_on_anew_in_another_is_owed():
@@ -237,12 +241,12 @@
     ledger.secure(ledger.rewrite)
     ledger.commit()
     for destination in (high, low):  # the end stands in the shard that is read last
-        ledger.take("a", "news", destination, 9 * SEC, "", b"")
+        ledger.add_accepted("a", "news", destination, 9 * SEC, "", b"")
         if destination == high:
-            ledger.write("e", "a")
+            ledger.append_record("e", "a")
             ledger.forget("a")
     ledger.flush()
-    assert work.open().owed["a"].destination == low
+    assert work.open().notifications["a"].destination == low
 
 
 def test_off_with_a_manifest_it_does_not_start_and_owed_still_lists_all(tmp_path, site, capsys):
@@ -250,7 +254,7 @@
     folder.mkdir()
     ledger = Sharded(str(folder), ROOM)
     for n in range(9):
-        ledger.take(f"a{n}", "news", n, 9 * SEC, "k", b"x")
+        ledger.add_accepted(f"a{n}", "news", n, 9 * SEC, "k", b"x")
     ledger.flush()
     rewrite = ledger.begin(ledger.shards[:], [0, 30_000, PLACES])
     ledger.copy()
@@ -287,17 +291,20 @@
     calls = work.disk.calls
     again = Sharded(FOLDER, ROOM, Mount(work.disk), inherited=True)
     assert told(again) == work.sure and work.disk.calls - calls <= 8
-    again.take("z", "news", 3, 9 * SEC, "", b"")
+    again.add_accepted("z", "news", 3, 9 * SEC, "", b"")
     again.flush()
     work.may = told(again)
-    assert "z" in looked_at(work).owed and Books(Mount(work.disk)).load(f"{FOLDER}/ledger").owed == {}
+    assert (
+        "z" in looked_at(work).notifications
+        and LedgerState(Mount(work.disk)).load(f"{FOLDER}/ledger").notifications == {}
+    )
 
 
 def split(work, edges=(0, 30_000, PLACES), owed=24, size=40):
     """An open ledger with something owed and a rewrite begun."""
     ledger = work.open()
     for n in range(owed):
-        ledger.take(f"a{n}", "news", n, 9 * SEC, "", b"x" * size)
+        ledger.add_accepted(f"a{n}", "news", n, 9 * SEC, "", b"x" * size)
     work.flush()
     return ledger, ledger.begin(ledger.shards[:], list(edges))
 
@@ -331,7 +338,7 @@
 
 def test_nothing_is_copied_while_something_is_unwritten():
     ledger, rewrite = split(Work())
-    ledger.write("p", "a3", 0, 1, 5)
+    ledger.append_record("p", "a3", 0, 1, 5)
     assert not ledger.copy() and not rewrite.copied and not rewrite.size
 
 
@@ -343,12 +350,12 @@
     ledger.secure(rewrite)
     ledger.commit()
     for n in range(30, 40):
-        ledger.take(f"b{n}", "news", n, 9 * SEC, "", b"")
-    whole = ledger.shards[1].added
-    ledger.shards[1].added = lambda data: fails(ledger.files, "write") or whole(data)
+        ledger.add_accepted(f"b{n}", "news", n, 9 * SEC, "", b"")
+    whole = ledger.shards[1].append
+    ledger.shards[1].append = lambda data: fails(ledger.files, "write") or whole(data)
     with pytest.raises(OSError):
         ledger.flush()
-    assert not ledger.torn and looked_at(work)
+    assert not ledger.has_partial_record and looked_at(work)
 
 
 def test_the_files_in_force_go_before_the_copy():
@@ -356,9 +363,9 @@
     ledger, _ = split(work, size=900)
     ledger.copy(most=9000)
     work.disk.plan.capacity = work.disk.used()
-    ledger.take("b", "news", 1, 9 * SEC, "", b"x" * 3000)
+    ledger.add_accepted("b", "news", 1, 9 * SEC, "", b"x" * 3000)
     ledger.flush()
-    assert not ledger.rewrite and ledger.given_up == 1 and not ledger.pending
+    assert not ledger.rewrite and ledger.given_up == 1 and not ledger.unwritten
 
 
 def test_a_copy_that_has_no_room_is_not_begun_and_one_that_cannot_be_unlinked_takes_none():
@@ -370,8 +377,8 @@
     fails(ledger.files, "unlink", 99)
     ledger.give_up("")
     assert work.disk.used() <= used + 512
-    while ledger.room(9000):
-        ledger.take(f"c{len(ledger.owed)}", "news", 7, 9 * SEC, "", b"x" * 9000)
+    while ledger.has_room(9000):
+        ledger.add_accepted(f"c{len(ledger.notifications)}", "news", 7, 9 * SEC, "", b"x" * 9000)
     ledger.flush()
     ledger.most = ledger.used() * 3 // 2
     with pytest.raises(NoRoom):
@@ -489,7 +496,9 @@
         node = await site.start()
         part = node.parts[-1]
         part.planner.plan = lambda shards, now: (
-            Split(shards[0], 30_000, 0.0) if len(shards) == 1 and len(node.ledger.owed) > 10 else None
+            Split(shards[0], 30_000, 0.0)
+            if len(shards) == 1 and len(node.ledger.notifications) > 10
+            else None
         )
         for n in range(20):
             assert await site.submit(f"a{n}") == 202
@@ -502,7 +511,7 @@
         assert len(held(node.ledger.files, node.config.state)) == 2
         site.kill()
         again = await site.start()
-        assert again.ledger.owed.keys() == {"b", *(f"a{n}" for n in range(20))}
+        assert again.ledger.notifications.keys() == {"b", *(f"a{n}" for n in range(20))}
         assert len(again.ledger.shards) == 2
 
     site.run(scene, lambda *message: None)
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -91,7 +91,7 @@
         }
         node = await site.start()
         await trio.sleep(0.5)  # the pause after a throttling reply is 0.4 s at most
-        assert list(node.ledger.owed) == ["a1"] and len(site.far.got) == 1
+        assert list(node.ledger.notifications) == ["a1"] and len(site.far.got) == 1
 
     site.run(scene, lambda *message: http(503))
 
@@ -260,7 +260,7 @@
         del node.decision_loop.execute_requests
         await node.decision_loop.enqueue(len, "")
         with trio.fail_after(0.5):
-            await site.until(lambda: node.counters["unheard"] and not node.ledger.owed)
+            await site.until(lambda: node.counters["unheard"] and not node.ledger.notifications)
 
     site.run(scene)
 
--- a/tests/test_standing_bytes.py
+++ b/tests/test_standing_bytes.py
@@ -88,7 +88,7 @@
             await site.until(lambda: len(node.decision_loop.answers_due) == many)
             node.decision_loop.execute_requests = carry_out
             await node.decision_loop.enqueue(len, "")
-            await site.until(lambda: not node.ledger.owed)
+            await site.until(lambda: not node.ledger.notifications)
         assert not network.late and len(site.far.got) == 2 * many > site.far.connections
         for sock in socks.values():
             sock.close()
@@ -151,12 +151,12 @@
     async def scene(site):
         (listener,) = await site.nursery.start(partial(trio.serve_tcp, serve, 0, host="127.0.0.1"))
         calls = await endpoints(site, outcomes)
-        calls.book["s-1"] = listener.socket.getsockname()
+        calls.addresses["s-1"] = listener.socket.getsockname()
         calls.start(site.nursery, "s-1", [send("a")])
-        await site.until(lambda: not calls.out)
+        await site.until(lambda: not calls.in_flight)
         pending.extend(streams)
         calls.start(site.nursery, "s-1", [send("b")])
-        await site.until(lambda: not calls.out)
+        await site.until(lambda: not calls.in_flight)
         assert [told[2] for told in outcomes] == ["delivered", "delivered"]
         # The first connection never got the complete call.
         assert [number for number, _ in site.far.got] == [1, 2] and not pending
@@ -208,10 +208,10 @@
     async def scene(site):
         (listener,) = await site.nursery.start(partial(trio.serve_tcp, serve, 0, host="127.0.0.1"))
         calls = await endpoints(site, outcomes)
-        calls.book["s-1"] = listener.socket.getsockname()
+        calls.addresses["s-1"] = listener.socket.getsockname()
         calls.start(site.nursery, "s-1", [send("a", 9 * SEC)])
         with trio.fail_after(3):
-            await site.until(lambda: not calls.out and closed)
+            await site.until(lambda: not calls.in_flight and closed)
         assert [told[2] for told in outcomes] == ["reset"]
         assert not calls.idle and calls.connection_limit.value == 8
         assert max(head_sizes) < (64 << 10) + READ_SIZE
@@ -388,7 +388,7 @@
             with suppress(trio.BrokenResourceError):
                 await stream.send_all(more)
         assert await answers_until_end(stream) == answers
-        await site.until(lambda: len(site.far.got) == 2 and not node.ledger.owed)
+        await site.until(lambda: len(site.far.got) == 2 and not node.ledger.notifications)
         assert [headers["x-trace-id"] for _, headers, _ in site.far.got] == ["a0", "a1"]
         assert node.counters["handed_in"] == 2
 
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -124,7 +124,7 @@
             network.number, network.left = number, 6
             node.decision_loop.endpoints.close_idle("s-1")
             assert await site.submit(name) == 202
-            await site.until(lambda: not node.ledger.owed)
+            await site.until(lambda: not node.ledger.notifications)
             endpoint = node.decision_loop.dispatcher.state.endpoints["s-1"]
             assert not endpoint.failure_run and not endpoint.trouble and not network.left, name
         assert len(site.far.got) == len(LOCAL_ERRORS) and not site.platform.notices
@@ -156,9 +156,11 @@
         node = await site.start()
         await opened(site, node)
         await trio.sleep(0.2)
-        assert not sent(site) and len(node.ledger.owed) == 2  # nothing is sent that is not in the ledger
+        assert (
+            not sent(site) and len(node.ledger.notifications) == 2
+        )  # nothing is sent that is not in the ledger
         files.failing = False
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert sorted(sent(site)) == ["a0", "a1"] and not site.platform.notices
         site.kill()
         assert not owed(site)
@@ -233,7 +235,7 @@
         assert await site.submit("a0") == 202
         await site.until(lambda: node.decision_loop.dispatcher.state.endpoints["s-1"].failure_run)
         network.left = 0
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert len(site.far.got) == 1
 
     site.run(scene)
@@ -256,7 +258,7 @@
                 nursery.start_soon(submit, number)
                 await trio.sleep(0.01)
         files.failing = False
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert files.failed > 30 and len(answers) == 200
         assert answers.count(202) >= 180, f"{answers.count(503)} of 200 were rejected"
 
@@ -303,7 +305,7 @@
         site.kill()
         site.world = replace(site.world, files=seams.Files())
         node = await site.start()
-        await site.until(lambda: not node.ledger.owed)
+        await site.until(lambda: not node.ledger.notifications)
         assert {notice["outcome"] for notice in site.platform.notices} == {"given_up"}
 
     site.run(scene)
--- a/tests/test_tables_wire.py
+++ b/tests/test_tables_wire.py
@@ -24,10 +24,10 @@
     async def scene(site):
         calls = await endpoints(site, outcomes, row.get("sockets", 8))
         if "peer" in row:
-            calls.book["s-1"] = ("127.0.0.1", 1)
+            calls.addresses["s-1"] = ("127.0.0.1", 1)
         if "before" in row:
             calls.start(site.nursery, "s-1", [send("before")])
-            await site.until(lambda: not calls.out and outcomes)
+            await site.until(lambda: not calls.in_flight and outcomes)
             outcomes.clear()
         sends = [send(name, SEC // 5) for name in "ab"[: row.get("sends", 1)]]
         for one in sends if "leave" in row else ():
@@ -75,7 +75,7 @@
         for _ in range(1 + row.get("again", False)):
             assert (await site.ask(request_of(row)))[0] == row["want"]
         with trio.fail_after(1):
-            await site.until(lambda: not node.ledger.owed)
+            await site.until(lambda: not node.ledger.notifications)
         assert len(site.far.got) == (row["want"] == 202)
 
     site.run(scene)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -83,7 +83,7 @@
         new = await replace(site)
         await site.until(lambda: old.replaced)
         site.far.go.set()
-        await site.until(lambda: not new.ledger.owed)
+        await site.until(lambda: not new.ledger.notifications)
         assert len(site.far.got) == 3 and site.far.connections == 3 and not site.platform.notices
         succeeded = [new.counters[f"svc.results.{topic}.succeeded"] for topic in ("order", "news", "pay")]
         assert succeeded == [1, 1, 1]
@@ -109,7 +109,7 @@
         new = await replace(site)
         assert (await site.ask(request[60:], half_sent))[0] == 202
         assert [await site.submit("a3", stream=used), await site.submit("a4", stream=unused)] == [202, 202]
-        await site.until(lambda: not new.ledger.owed)
+        await site.until(lambda: not new.ledger.notifications)
         assert {headers["x-trace-id"] for _, headers, _ in site.far.got} == {"a1", "a2", "a3", "a4"}
 
     site.run(scene)
@@ -157,7 +157,7 @@
         for number in "abc":
             assert await site.submit(number, stream=stream) == 202
             await replace(site)
-        await site.until(lambda: not site.node.ledger.owed)
+        await site.until(lambda: not site.node.ledger.notifications)
         assert len(site.far.got) == 3 and site.far.connections == 1
 
     site.run(scene)
@@ -189,7 +189,7 @@
         await site.until(lambda: old.decision_loop.ready)
         site.far.go.set()
         assert await site.submit("a2", stream=stream) == 202
-        await site.until(lambda: not old.ledger.owed)
+        await site.until(lambda: not old.ledger.notifications)
         assert [headers["x-trace-id"] for _, headers, _ in site.far.got] == ["a1", "a2"]
         await replace(site)  # the next attempt succeeds
         assert await site.submit("a3", stream=stream) == 202
@@ -298,7 +298,7 @@
     async def scene(site):
         old, stream = await first(site), await site.client()
         assert await site.submit("a1", stream=stream) == 202
-        await site.until(lambda: not old.ledger.owed)
+        await site.until(lambda: not old.ledger.notifications)
         if fails == "to load":
 
             def make(offer):
@@ -319,7 +319,7 @@
             lambda: any("serving on" in text for _, text in site.lines) and old.decision_loop.ready
         )
         assert await site.submit("a2", stream=stream) == 202
-        await site.until(lambda: not old.ledger.owed)
+        await site.until(lambda: not old.ledger.notifications)
         assert sum("takes over" in text for _, text in site.lines) == 1
         assert sum("code=hand-over-failed" in text for _, text in site.lines) == 1
         assert len(os.listdir("/proc/self/fd")) <= before + 1  # discovery may have opened a connection anew
