--- a/juniperlanding/net/clients.py
+++ b/juniperlanding/net/clients.py
@@ -9,7 +9,7 @@
 from juniperlanding.ground.log import described, where
 from juniperlanding.net import protocol
 from juniperlanding.net.counters import DECLINED
-from juniperlanding.net.line import GONE, Line
+from juniperlanding.net.line import CONNECTION_ERRORS, HttpConnection
 from juniperlanding.net.owner import Answer
 from juniperlanding.net.system_errors import AcceptErrors, Affected, affected, errno_name
 
@@ -27,11 +27,11 @@
     "too_late",
 )
 # Connections accepted beyond the limit: each evicts a waiting one, and is closed after its response.
-ROOM = 8
+EXTRA_CONNECTIONS = 8
 # Seconds that a new connection's request, or the rest of a request, still has to arrive: when the connection
 # is evicted, and when the process ends.
-REST_WITHIN = 0.02
-LAST_REST_WITHIN = 0.1
+EVICTED_REQUEST_TIMEOUT = 0.02
+DRAINED_REQUEST_TIMEOUT = 0.1
 FREE_INTERVAL = 0.05  # least seconds between two connections closed because accepting fails
 BACKLOG_TIMEOUT = 0.05  # seconds to empty the backlog when the process ends and accepting fails
 
@@ -45,16 +45,16 @@
         self.max_connections = max_connections
         self.peers = {}  # open connection -> its peer's address
         self.open = 0  # number of open connections
-        self.waiting = {}  # connection -> cancel scope of its wait for a request, longest wait first
+        self.request_waits = {}  # connection -> cancel scope of its wait for a request, longest wait first
         self.draining = False
-        self.came = 0  # connections accepted so far
+        self.accepted_count = 0  # connections accepted so far
         self.lingering = {}  # connection that is owed no response -> cancel scope of its lingering close
-        self.closing = False
-        self.connection_limit = trio.Semaphore(max_connections + ROOM)
+        self.is_refusing = False
+        self.connection_limit = trio.Semaphore(max_connections + EXTRA_CONNECTIONS)
         # Once frozen for a hand-over, connections between requests are carried over to the receiver.
         # leaving: the connections in their lingering close.
         self.frozen, self.handed_over, self.leaving, self.accepting = False, [], set(), trio.CancelScope()
-        self.accepts_nobody = trio.Event()
+        self.accept_stopped = trio.Event()
         self.accept_errors, self.freed_at = AcceptErrors(), float("-inf")
 
     async def listen(self, listener, nursery):
@@ -63,7 +63,7 @@
             with self.accepting:
                 await self.accept(listener)
         finally:
-            self.accepts_nobody.set()
+            self.accept_stopped.set()
 
     async def close(self, listener):
         """Stop accepting, and close the listening socket.
@@ -72,7 +72,7 @@
         then wait on a closed file descriptor. Connections that arrived since its last accept are in the
         backlog, and would be reset by the close, so they are accepted first."""
         self.accepting.cancel()
-        await self.accepts_nobody.wait()
+        await self.accept_stopped.wait()
         with trio.move_on_after(BACKLOG_TIMEOUT):
             await self.accept_backlog(listener)
         listener.close()
@@ -102,24 +102,24 @@
                 connection.close()
                 continue
             self.open += 1
-            nursery.start_soon(self.attend, connection, peer, within)
+            nursery.start_soon(self.serve_connection, connection, peer, within)
 
     def freeze(self):
         """Stop accepting and reading, for a hand-over; requests that were read are still answered."""
         self.frozen = True
         self.accepting.cancel()
-        for scope in self.waiting.values():
+        for scope in self.request_waits.values():
             scope.cancel()
 
     def settled(self):
         return self.frozen and self.open == len(self.handed_over) + len(self.leaving)
 
     def add_connection(self, sock, peer):
-        self.came += 1
+        self.accepted_count += 1
         self.open += 1
         if self.is_over_limit():
             self.evict()
-        self.nursery.start_soon(self.attend, Line(sock, h11.SERVER), peer)
+        self.nursery.start_soon(self.serve_connection, HttpConnection(sock, h11.SERVER), peer)
 
     async def accept(self, listener):
         while True:
@@ -171,21 +171,21 @@
         connection that has waited longest is evicted; if at least half of the waiting ones are idle, the
         first idle one without unread bytes. That way idle clients that reconnect don't evict clients in the
         middle of a long request, and many unfinished requests don't evict clients about to send one."""
-        victim = next(iter(self.waiting), None)
-        idle = [connection for connection in self.waiting if not connection.raw]
-        if 2 * len(idle) >= len(self.waiting):
-            victim = next((connection for connection in idle if not connection.waiting()), victim)
+        victim = next(iter(self.request_waits), None)
+        idle = [connection for connection in self.request_waits if not connection.message_bytes]
+        if 2 * len(idle) >= len(self.request_waits):
+            victim = next((connection for connection in idle if not connection.unread()), victim)
         if victim:
-            self.cut_wait_short(victim, REST_WITHIN)
+            self.cut_wait_short(victim, EVICTED_REQUEST_TIMEOUT)
 
     def cut_wait_short(self, connection, rest_within):
         """Stop waiting for a request, at once on an idle connection.
 
         A request that has begun, and the first bytes on a new connection, which may still be under way, get
         `rest_within` seconds; they would otherwise be cut off without a response."""
-        scope = self.waiting.pop(connection)
+        scope = self.request_waits.pop(connection)
         now = trio.current_time()
-        if connection.raw:
+        if connection.message_bytes:
             scope.deadline = min(scope.deadline, now + rest_within)
         elif connection.opened_at + rest_within <= now:
             scope.cancel()
@@ -195,18 +195,18 @@
     def drain(self):
         """Close each connection after its next response, and those that wait for a request now."""
         self.draining = True
-        for connection in list(self.waiting):
-            self.cut_wait_short(connection, LAST_REST_WITHIN)
+        for connection in list(self.request_waits):
+            self.cut_wait_short(connection, DRAINED_REQUEST_TIMEOUT)
 
     def refuse(self):
         """Refuse further submissions with 503, because the process is about to end."""
-        self.closing = True
+        self.is_refusing = True
 
     def busy(self):
         """The number of connections between request and response."""
-        return self.open - len(self.waiting) - len(self.leaving) - len(self.handed_over)
+        return self.open - len(self.request_waits) - len(self.leaving) - len(self.handed_over)
 
-    async def attend(self, connection, peer, within=protocol.REQUEST_WITHIN):
+    async def serve_connection(self, connection, peer, within=protocol.REQUEST_TIMEOUT):
         reason, served, connection.until = "closed", 0, trio.current_time() + within
         self.peers[connection] = peer
         try:
@@ -225,7 +225,7 @@
         except trio.Cancelled:
             reason = "process_ends"  # already checked by `count_unanswered`
             raise
-        except GONE as error:
+        except CONNECTION_ERRORS as error:
             reason = type(error).__name__
         except Exception as error:  # an error on one connection must not end the program
             reason = "fault"
@@ -264,25 +264,25 @@
         """Wait for the first bytes of a request; the reason why none will be read, or None."""
         has_data = False
         with trio.CancelScope(deadline=until) as scope:
-            self.waiting[connection], connection.until = scope, until
+            self.request_waits[connection], connection.until = scope, until
             try:
-                has_data = await connection.begin()
+                has_data = await connection.wait_for_message()
             finally:
-                is_cut_short = self.waiting.pop(connection, None) is None
+                is_cut_short = self.request_waits.pop(connection, None) is None
         if scope.cancelled_caught:
             if self.frozen:
                 return "carried"
             # Bytes that arrived at the same moment as the cancellation are still read.
-            if rules.may_close(rules.CloseFacts(has_unread=bool(connection.waiting()))).is_allowed:
+            if rules.may_close(rules.CloseFacts(has_unread=bool(connection.unread()))).is_allowed:
                 return "closed_by_us" if is_cut_short else "silent"
-            has_data = await connection.begin()
+            has_data = await connection.wait_for_message()
         # The rest of the request has its own time limit: a client that sends half of it, or a byte now and
         # then, gets an error response within that time.
         connection.is_evicted = is_cut_short and not self.draining
-        rest_within = REST_WITHIN if connection.is_evicted else LAST_REST_WITHIN
-        within = rest_within if is_cut_short else protocol.REQUEST_WITHIN
+        rest_within = EVICTED_REQUEST_TIMEOUT if connection.is_evicted else DRAINED_REQUEST_TIMEOUT
+        within = rest_within if is_cut_short else protocol.REQUEST_TIMEOUT
         connection.until = min(
-            max(until, trio.current_time() + LAST_REST_WITHIN), trio.current_time() + within
+            max(until, trio.current_time() + DRAINED_REQUEST_TIMEOUT), trio.current_time() + within
         )
         return None if has_data else "ended"
 
@@ -293,28 +293,31 @@
             return why
         try:
             with trio.CancelScope(deadline=connection.until) as scope:
-                self.waiting[connection] = scope  # last in the order of eviction, since it was just active
+                self.request_waits[connection] = (
+                    scope  # last in the order of eviction, since it was just active
+                )
                 try:
                     request = await connection.next_event()
                     if isinstance(request, h11.ConnectionClosed):
                         return "ended"
-                    if int(dict(request.headers).get(b"content-length", 0)) <= protocol.MOST_BODY:
-                        body = await connection.body(protocol.MOST_BODY)
+                    if int(dict(request.headers).get(b"content-length", 0)) <= protocol.MAX_BODY:
+                        body = await connection.body(protocol.MAX_BODY)
                     status, reason = 413, "too_long"
                 finally:
-                    is_cut_short = self.waiting.pop(connection, None) is None or connection.is_evicted
+                    is_cut_short = self.request_waits.pop(connection, None) is None or connection.is_evicted
                     if body is not None:
-                        connection.raw.clear()  # complete, so it is answered here and not handed over
+                        # Complete, so it is answered here and not handed over.
+                        connection.message_bytes.clear()
         except h11.RemoteProtocolError as error:
             status, reason = error.error_status_hint, "malformed"
         if scope.cancelled_caught and self.frozen:
             return "carried"
         if scope.cancelled_caught and is_cut_short:
-            if connection.waiting():
+            if connection.unread():
                 # The rest has arrived by now; a close without a response would look as if we had accepted it.
                 return await self.respond(connection, 503, reason="too_late")
             # After a close without a response, a client that sends in pieces would count its request as lost.
-            with trio.move_on_after(protocol.PATIENCE):
+            with trio.move_on_after(protocol.CLIENT_RESPONSE_TIMEOUT):
                 await self.send_response(connection, 503, last=True)
             return "closed_by_us"
         if body is None or reason == "malformed":
@@ -335,7 +338,7 @@
 
     async def respond(self, connection, status, headers=(), payload=b"", reason="closed"):
         last = reason != "closed" or self.draining or self.is_over_limit()
-        with trio.move_on_after(protocol.REQUEST_WITHIN) as scope:
+        with trio.move_on_after(protocol.REQUEST_TIMEOUT) as scope:
             await self.send_response(connection, status, headers, payload, last)
             if last or not connection.reusable():
                 # Unread bytes behind the last request would turn our close into a reset, which discards the
@@ -392,8 +395,8 @@
             rules.AcceptFacts(
                 is_ready=self.decision_loop.ready,
                 is_writable=not self.decision_loop.ledger_failing,
-                is_stopping=self.closing,
-                has_client_left=connection.waiting() == b"",
+                is_stopping=self.is_refusing,
+                has_client_left=connection.unread() == b"",
             )
         )
         event = self.decision_loop.submit, topic, destination, ttl_at, key, body, answer, *keys
@@ -406,10 +409,10 @@
         await answer.ready.wait()
         extra_headers = [("Retry-After", f"{answer.retry_after / SEC:.3f}")] if answer.retry_after else []
         if self.decision_loop.lease is not None and answer.is_accepted and answer.status == 202:
-            extra_headers = [(protocol.POLICY, str(answer.policy_number))]
+            extra_headers = [(protocol.POLICY_HEADER, str(answer.policy_number))]
         try:
             return await self.respond(connection, answer.status, extra_headers)
-        except GONE:
+        except CONNECTION_ERRORS:
             # Withdraw the notification only if this request got it accepted: a repeated request with the same
             # id that goes unheard must not withdraw what the first one got a 202 for.
             if answer.is_accepted and answer.status == 202:
--- a/juniperlanding/net/discovery.py
+++ b/juniperlanding/net/discovery.py
@@ -35,15 +35,20 @@
         self.has_failed = False  # since the last good answer
         # How many entries could not be read, and trio's time to ask for the whole list again.
         self.unreadable_count, self.reread_at = 0, float("inf")
-        known = protocol.entries(config.known.get("members", []), self.kinds, self.zones)
+        known = protocol.parse_members(config.known.get("members", []), self.kinds, self.zones)
         self.last_read = {entry[0]: (entry, address) for entry, address in known}  # by endpoint
         # wanted: set while the list is to be followed or fetched; whole: the next call asks for the whole
         # list; on: the decision module is subscribed; scope: of the call under way.
-        self.wanted, self.whole, self.on, self.scope = trio.Event(), False, False, trio.CancelScope()
+        self.wanted, self.wants_whole_list, self.on, self.scope = (
+            trio.Event(),
+            False,
+            False,
+            trio.CancelScope(),
+        )
 
     def inherit(self, revision, address):
         """Continue where another process stopped; another address may number its revisions differently."""
-        self.revision, self.whole = revision, tuple(address) != self.address
+        self.revision, self.wants_whole_list = revision, tuple(address) != self.address
 
     def subscribe(self, on):
         self.on = on
@@ -53,7 +58,7 @@
             self.wanted = trio.Event()
 
     def fetch(self):
-        self.whole = True
+        self.wants_whole_list = True
         self.wanted.set()
 
     def move(self, address):
@@ -65,7 +70,7 @@
         self.request_whole_list()
 
     def request_whole_list(self):
-        self.whole = True
+        self.wants_whole_list = True
         if self.on:
             self.wanted.set()  # don't wait for the end of a long pause after failures of the old address
 
@@ -82,7 +87,7 @@
         reason = "not_wanted"
         try:
             while self.wanted.is_set():
-                if connection and not connection.quiet():
+                if connection and not connection.has_nothing_unread():
                     connection.close()
                     connection = None
                 connection = connection or await self.connect()
@@ -108,7 +113,7 @@
     async def poll(self, connection):
         """Make one watch, or fetch the whole list; whether the connection can be used again."""
         begun = trio.current_time()
-        whole = self.whole or self.revision is None or begun >= self.reread_at
+        whole = self.wants_whole_list or self.revision is None or begun >= self.reread_at
         # A call after a failure may go unanswered too. With a long wait that would be noticed too late, since
         # a change counts as known here 6 s after discovery has it; so the wait is short, and a watch follows
         # once the call is answered.
@@ -120,12 +125,16 @@
         query = "" if whole else f"?index={self.revision}&wait={wait}"
         with trio.fail_after(ANSWER_MARGIN + (0 if whole else wait / 1000)):
             await connection.send(
-                h11.Request(method="GET", target=protocol.LIST + query, headers=[("Host", "discovery")]),
+                h11.Request(
+                    method="GET", target=protocol.MEMBERS_PATH + query, headers=[("Host", "discovery")]
+                ),
                 h11.EndOfMessage(),
             )
-            if (await connection.answer()).status_code != 200:
+            if (await connection.read_response_head()).status_code != 200:
                 raise ValueError("discovery did not answer with status 200")
-            body = await connection.rest(self.max_list_size)  # has 1 s of its own, however long the watch
+            body = await connection.read_response_body(
+                self.max_list_size
+            )  # has 1 s of its own, however long the watch
         answer = json.loads(body)
         if not isinstance(answer, dict) or not isinstance(answer.get("members"), list):
             raise ValueError("discovery's answer has no list of members")
@@ -133,7 +142,7 @@
         complete = bool(answer.get("complete"))
         had_failed = self.has_failed
         members = self.read_members(answer["members"], complete, whole)
-        self.whole = self.has_failed = False
+        self.wants_whole_list = self.has_failed = False
         if members or complete or had_failed:
             # Also without changes if calls failed before: the decision module would otherwise keep counting
             # the failures, and wait long after the next one.
@@ -152,7 +161,7 @@
 
         If a member that is corrupted in transit were left out, its endpoint would count as gone, or stay in
         use although it drains."""
-        found = protocol.entries(members, self.kinds, self.zones)
+        found = protocol.parse_members(members, self.kinds, self.zones)
         read = {entry[0] for entry, _ in found}
         unreadable = [one for one in members if not (isinstance(one, dict) and str(one.get("id")) in read)]
         for one in unreadable:
--- a/juniperlanding/net/door.py
+++ b/juniperlanding/net/door.py
@@ -7,7 +7,7 @@
 
 from juniperlanding.ground.errors import Trouble, system
 from juniperlanding.ground.log import described, field, where
-from juniperlanding.net.line import GONE, linger
+from juniperlanding.net.line import CONNECTION_ERRORS, linger
 from juniperlanding.net.system_errors import AcceptErrors
 
 MAX_CALLERS = 8  # connections at once
@@ -71,7 +71,7 @@
                 await linger(sock)
             if scope.cancelled_caught:
                 self.counters["door_unfinished"] += 1
-        except GONE:
+        except CONNECTION_ERRORS:
             pass
         except Exception as error:  # an unexpected failure in one call must not end the process
             self.log("fault", part="door", why=described(error), at_line=where(error))
--- a/juniperlanding/net/endpoints.py
+++ b/juniperlanding/net/endpoints.py
@@ -15,7 +15,7 @@
 from juniperlanding.handover import steps
 from juniperlanding.net import protocol
 from juniperlanding.net.counters import FORWARDS
-from juniperlanding.net.line import GONE, connect
+from juniperlanding.net.line import CONNECTION_ERRORS, connect
 from juniperlanding.net.system_errors import NETWORK_ERRORS, RESOURCE_ERRORS, Backoff, errno_name, is_local
 
 NO_ROUTE_RETRY = 0.3  # seconds for which a connect without a route to the endpoint is retried
@@ -184,14 +184,19 @@
                     return
                 await self.read_answer(call)
                 reason = "answered"
-            if call.scope.cancelled_caught and call.written and not self.frozen and call.connection.unheard():
+            if (
+                call.scope.cancelled_caught
+                and call.written
+                and not self.frozen
+                and call.connection.has_unread_response()
+            ):
                 # If the process was suspended past the deadline, its first poll of the sockets returns no
                 # events (EINTR), so the call times out although a response has arrived.  Reads that response;
                 # the rest of a partial one is not waited for.
                 with trio.move_on_after(FINAL_READ, shield=True):
                     await self.read_answer(call)
                     reason = "answered"
-        except (*GONE, h11.ProtocolError, trio.TooSlowError) as error:
+        except (*CONNECTION_ERRORS, h11.ProtocolError, trio.TooSlowError) as error:
             reason = type(error).__name__
         except Exception as error:  # an unexpected response must not end the process
             reason = type(error).__name__
@@ -204,7 +209,7 @@
                 if call.connection:
                     if call.written:
                         # If the process was suspended just after the last byte, the response is still unread.
-                        call.connection.head = call.connection.arrived()
+                        call.connection.unparsed_head = call.connection.received_head()
                     # While the network path is down, a closed connection would keep the request and deliver
                     # it once the path is back: after its repeat window, or in addition to another push.  A
                     # reset discards what has not been sent yet.
@@ -235,14 +240,14 @@
                 )
                 try:
                     if call.pushes:
-                        await call.connection.send_in_two(
-                            *self.build_request(call), leaves=partial(self.before_last_byte, call)
+                        await call.connection.send_holding_last_byte(
+                            *self.build_request(call), before_last_byte=partial(self.before_last_byte, call)
                         )
                         call.written = True
                         self.counters[FORWARDS] += len(call.pushes)
                         if self.frozen:
                             call.scope.cancel()
-                except GONE:
+                except CONNECTION_ERRORS:
                     if not is_reused:
                         raise
                     connection, call.connection = call.connection, None
@@ -285,7 +290,12 @@
         timed_out = call.scope.cancelled_caught
         outcomes, single = [], len(call.pushes) == 1
         for push in call.pushes:
-            if call.written and single and call.connection and protocol.says_delivered(call.connection.head):
+            if (
+                call.written
+                and single
+                and call.connection
+                and protocol.is_status_200(call.connection.unparsed_head)
+            ):
                 outcomes.append((push, "delivered"))
             elif call.written:
                 outcomes.append(
@@ -319,7 +329,7 @@
         connections = self.idle.get(endpoint, [])
         while connections:
             connection = connections.pop()
-            if self.now() - connection.used_at < self.max_idle and connection.quiet():
+            if self.now() - connection.used_at < self.max_idle and connection.has_nothing_unread():
                 return connection
             self.close_connection(endpoint, connection, "stale")
         if not self.connection_limit.value:
@@ -366,18 +376,18 @@
         A request with a malformed response may have run, whatever the response says; but a status line with
         200 proves the delivery of a single notification."""
         connection = call.connection
-        answer = await connection.answer()
+        answer = await connection.read_response_head()
         headers = dict(answer.headers)
-        wait = protocol.wait(headers.get(protocol.RETRY, b""))
-        report = protocol.report(headers.get(protocol.REPORT, b""), self.report)
+        wait = protocol.parse_retry_after(headers.get(protocol.RETRY_AFTER_HEADER, b""))
+        report = protocol.parse_load_report(headers.get(protocol.LOAD_REPORT_HEADER, b""), self.report)
         is_batch = len(call.pushes) > 1
         if answer.status_code == 200 and not is_batch:
             outcomes = [(call.pushes[0], "delivered")]
-            if not connection.whole():
+            if not connection.is_response_complete():
                 await self.report_outcomes(call, outcomes, wait, report)
-                await connection.rest(protocol.MOST_BODY)
+                await connection.read_response_body(protocol.MAX_BODY)
         else:
-            body = await connection.rest(protocol.MOST_BODY)
+            body = await connection.read_response_body(protocol.MAX_BODY)
             if answer.status_code == 200:
                 outcomes = self.batch_outcomes(call, body)
             else:
@@ -399,7 +409,7 @@
     @staticmethod
     def outcome_of(status, headers, is_batch):
         """The outcome for a status other than 200; after an undocumented status the push may have run."""
-        if status == 503 and headers.get(protocol.NO_SLOT) == b"1" or status == 504:
+        if status == 503 and headers.get(protocol.NO_SLOT_HEADER) == b"1" or status == 504:
             return "moot"
         if status == 410:
             return "over"
@@ -422,12 +432,12 @@
         headers = [("Host", "endpoint"), ("X-Expires-In-Ms", time_left)]
         first = call.pushes[0]
         if len(call.pushes) == 1:
-            target, body = protocol.ONE, first.body
+            target, body = protocol.MESSAGE_PATH, first.body
             headers.append(("X-Trace-Id", first.id.encode("latin-1")))
             if first.key:
                 headers.append(("Idempotency-Key", first.key.encode("latin-1")))
         else:
-            target = protocol.MANY
+            target = protocol.BATCH_PATH
             # Whoever tracks a batch by its first message ignores outcomes after that message's TTL; so the
             # one with the latest TTL comes first.
             by_ttl = sorted(call.pushes, key=lambda push: -push.ttl_at)
@@ -478,7 +488,10 @@
             await trio.sleep(1)
             for endpoint, connections in list(self.idle.items()):
                 for connection in list(connections):
-                    if self.now() - connection.used_at >= self.max_idle or not connection.quiet():
+                    if (
+                        self.now() - connection.used_at >= self.max_idle
+                        or not connection.has_nothing_unread()
+                    ):
                         connections.remove(connection)
                         self.close_connection(endpoint, connection, "stale")
                 if not connections:
--- a/juniperlanding/net/line.py
+++ b/juniperlanding/net/line.py
@@ -3,18 +3,18 @@
 import h11
 import trio
 
-from juniperlanding.net.protocol import MOST_BODY, MOST_HEAD, may_begin_response
+from juniperlanding.net.protocol import MAX_BODY, MAX_HEAD, may_begin_response
 
 READ_SIZE = 16 << 10
-ANSWER_WITHIN = 1.0  # seconds from a response's first byte to its complete head, and again for its body
+RESPONSE_TIMEOUT = 1.0  # seconds from a response's first byte to its complete head, and again for its body
 LAST_BYTE_DELAY = 0.005  # seconds for which the last byte of a call is held back
 # Seconds and bytes for which a connection is still read after our side has closed.
-LINGER = 0.25
+LINGER_TIMEOUT = 0.25
 MAX_LINGER_BYTES = 256 << 10
-GONE = (OSError, trio.ClosedResourceError, trio.BrokenResourceError)
+CONNECTION_ERRORS = (OSError, trio.ClosedResourceError, trio.BrokenResourceError)
 
 
-class Line:
+class HttpConnection:
     """A connection; `early` holds bytes of its current message that were read before a hand-over."""
 
     def __init__(self, sock, role, early=b""):
@@ -23,11 +23,11 @@
         self.until = float("inf")  # deadline for the complete current request, in trio's time
         # Evicted: another connection needs the capacity that this one takes.
         self.opened_at, self.is_evicted = trio.current_time(), False
-        self.raw = []  # the bytes of the current message as they arrived, for a hand-over
-        self.http = h11.Connection(role, max_incomplete_event_size=MOST_HEAD)
+        self.message_bytes = []  # the bytes of the current message as they arrived, for a hand-over
+        self.http = h11.Connection(role, max_incomplete_event_size=MAX_HEAD)
         self.address = None  # the address that we connected to; unknown after a hand-over
         self.used_at = 0
-        self.head = b""  # the bytes of a response until its head is parsed
+        self.unparsed_head = b""  # the bytes of a response until its head is parsed
 
     async def next_event(self):
         """The peer's next event; reads from the socket as needed."""
@@ -39,17 +39,17 @@
 
     async def receive(self):
         data, self.early = self.early or await self.sock.recv(READ_SIZE), b""
-        self.raw.append(data)
+        self.message_bytes.append(data)
         if self.http.our_role is h11.CLIENT and self.http.their_state is h11.SEND_RESPONSE:
-            self.head += data
-            if not may_begin_response(self.head):
+            self.unparsed_head += data
+            if not may_begin_response(self.unparsed_head):
                 raise h11.RemoteProtocolError("response does not start with an HTTP version")
-            if len(self.head) > MOST_BODY:  # a peer could send interim responses for ever
+            if len(self.unparsed_head) > MAX_BODY:  # a peer could send interim responses for ever
                 raise h11.RemoteProtocolError("response head too long")
         self.http.receive_data(data)
         return bool(data)
 
-    async def begin(self):
+    async def wait_for_message(self):
         """Wait for the first bytes of a message; False if the peer closed the connection instead."""
         return bool(self.http.trailing_data[0]) or await self.receive()
 
@@ -65,21 +65,21 @@
             parts.append(bytes(event.data))
         return b"".join(parts)
 
-    async def answer(self):
-        """The head of the final response; fails if it is not complete within `ANSWER_WITHIN`."""
-        self.head = b""
-        await self.begin()
-        with trio.fail_after(ANSWER_WITHIN):
+    async def read_response_head(self):
+        """The head of the final response; fails if it is not complete within `RESPONSE_TIMEOUT`."""
+        self.unparsed_head = b""
+        await self.wait_for_message()
+        with trio.fail_after(RESPONSE_TIMEOUT):
             while isinstance(event := await self.next_event(), h11.InformationalResponse):
                 pass
         if not isinstance(event, h11.Response):
             raise h11.RemoteProtocolError("connection closed without a response")
-        self.head = b""
+        self.unparsed_head = b""
         return event
 
-    async def rest(self, most):
-        """The body of a response; fails if it is too long or not complete within `ANSWER_WITHIN`."""
-        with trio.fail_after(ANSWER_WITHIN):
+    async def read_response_body(self, most):
+        """The body of a response; fails if it is too long or not complete within `RESPONSE_TIMEOUT`."""
+        with trio.fail_after(RESPONSE_TIMEOUT):
             body = await self.body(most)
         if body is None:
             raise h11.RemoteProtocolError("response body too long")
@@ -96,21 +96,21 @@
         """Write events in one gathered write; returns once the kernel has taken all bytes."""
         await self.write(self.serialized(events))
 
-    async def send_in_two(self, *events, leaves):
+    async def send_holding_last_byte(self, *events, before_last_byte):
         """As `send`, but hold the last byte back for a moment, so that a stale connection fails before it.
 
         As long as the last byte has not left, the peer cannot have run the request. A kept connection that
         the peer has given up breaks at the first bytes, or brings bytes that don't answer this request (part
-        of a line, a 408) and would be read as its response. `leaves()` is called right before the last byte,
-        and may still cancel the scope around."""
+        of a line, a 408) and would be read as its response. `before_last_byte()` is called right
+        before the last byte, and may still cancel the scope around."""
         *parts, last = self.serialized(events)
         await self.write([*parts, last[:-1]])
         with trio.move_on_after(LAST_BYTE_DELAY):
             await self.sock.readable()
-        unread = self.waiting()
+        unread = self.unread()
         if unread == b"" or unread and self.used_at:
             raise trio.BrokenResourceError("connection broke before the request was complete")
-        leaves()
+        before_last_byte()
         await self.write([last[-1:]])
 
     async def write(self, parts):
@@ -121,7 +121,7 @@
             if sent:
                 parts[0] = parts[0][sent:]
 
-    def whole(self):
+    def is_response_complete(self):
         """Whether the response can be read to its end from the bytes received so far."""
         try:
             while self.http.their_state is h11.SEND_BODY:
@@ -141,24 +141,24 @@
     def next(self):
         """Reset the state for the next request and response."""
         self.http.start_next_cycle()
-        self.raw.clear()
+        self.message_bytes.clear()
 
-    def waiting(self):
+    def unread(self):
         """The bytes that arrived and were not read; None if there are none, b"" after a close or reset."""
         return self.early or self.sock.peek()
 
-    def arrived(self):
+    def received_head(self):
         """The bytes of a response whose head is not parsed yet, including unread ones."""
         unread = self.sock.peek(READ_SIZE) if self.http.their_state is h11.SEND_RESPONSE else b""
-        return self.head + (unread or b"")
+        return self.unparsed_head + (unread or b"")
 
-    def unheard(self):
+    def has_unread_response(self):
         """Whether a response has arrived of which nothing was read."""
-        return self.http.their_state is h11.SEND_RESPONSE and not self.head and bool(self.waiting())
+        return self.http.their_state is h11.SEND_RESPONSE and not self.unparsed_head and bool(self.unread())
 
-    def quiet(self):
+    def has_nothing_unread(self):
         """Whether an idle connection is usable: no unsolicited bytes arrived, and the peer didn't close."""
-        return self.waiting() is None
+        return self.unread() is None
 
     @property
     def is_request_whole(self):
@@ -172,7 +172,7 @@
 
     def has_excess_data(self):
         """Whether bytes arrived beyond the message that was read."""
-        return bool(self.http.trailing_data[0] or self.waiting())
+        return bool(self.http.trailing_data[0] or self.unread())
 
     async def finish(self):
         await linger(self.sock)
@@ -192,16 +192,16 @@
     already out."""
     try:
         sock.finish()
-        with trio.move_on_after(LINGER):
+        with trio.move_on_after(LINGER_TIMEOUT):
             for _ in range(MAX_LINGER_BYTES // READ_SIZE):
                 if not await sock.recv(READ_SIZE):
                     break
-    except GONE:
+    except CONNECTION_ERRORS:
         pass
 
 
 async def connect(network, address):
     """A new connection to (host, port), as a client."""
-    line = Line(await network.connect(address), h11.CLIENT)
-    line.address = address
-    return line
+    connection = HttpConnection(await network.connect(address), h11.CLIENT)
+    connection.address = address
+    return connection
--- a/juniperlanding/net/node.py
+++ b/juniperlanding/net/node.py
@@ -9,7 +9,7 @@
 from juniperlanding.ground.errors import system
 from juniperlanding.ground.log import described
 from juniperlanding.net import config, door, parts, protocol
-from juniperlanding.net.clients import ROOM, Clients
+from juniperlanding.net.clients import EXTRA_CONNECTIONS, Clients
 from juniperlanding.net.counters import Counters
 from juniperlanding.net.discovery import Discovery
 from juniperlanding.net.endpoints import Endpoints
@@ -27,7 +27,7 @@
 REBUILD_RETRY = 0.25  # seconds until a ledger that could not be read is tried again
 REREAD = 0.25  # seconds until a configuration file that could not be read is tried again, doubled each time
 MAX_REREAD = 2.0  # the longest such pause
-MAX_CLIENT_BYTES = 2 * (protocol.MOST_BODY + protocol.MOST_HEAD)  # the most that a client connection holds
+MAX_CLIENT_BYTES = 2 * (protocol.MAX_BODY + protocol.MAX_HEAD)  # the most that a client connection holds
 
 
 def connection_limits(configuration):
@@ -39,7 +39,7 @@
         12,
         configuration.sockets
         - RESERVED_DESCRIPTORS
-        - ROOM
+        - EXTRA_CONNECTIONS
         - (door.DESCRIPTORS if configuration.management else 0),
     )
     return min(
@@ -143,7 +143,7 @@
         over."""
         configuration, decision_loop, listener = self.config, self.decision_loop, self.listener
         listener.listen()
-        known = protocol.entries(
+        known = protocol.parse_members(
             configuration.known.get("members", []), configuration.kinds, configuration.zones
         )
         await decision_loop.enqueue(decision_loop.start_module, known, self.offer)
@@ -185,7 +185,7 @@
         return offer
 
     async def freeze(self, within):
-        if not self.clients.closing:  # a process about to end could not complete the hand-over
+        if not self.clients.is_refusing:  # a process about to end could not complete the hand-over
             await self.decision_loop.enqueue(self.decision_loop.freeze, within)
 
     async def stand_by(self):
@@ -306,7 +306,7 @@
         began = trio.current_time()
         self.enter("draining")
         self.log("stop", "draining", held=len(self.decision_loop.unfinished))
-        time_limit = protocol.KILL_AFTER - protocol.PATIENCE / 4
+        time_limit = protocol.SIGKILL_DELAY - protocol.CLIENT_RESPONSE_TIMEOUT / 4
         with trio.move_on_after(time_limit - LAST_WORDS):
             if not self.replaced:
                 self.stops_at = self.world.clock.now() + int(time_limit * SEC)
@@ -314,9 +314,9 @@
             while not self.replaced and (
                 self.clients.open
                 or self.ledger.notifications
-                or trio.current_time() < began + protocol.PATIENCE
+                or trio.current_time() < began + protocol.CLIENT_RESPONSE_TIMEOUT
             ):
-                if trio.current_time() > began + protocol.KILL_AFTER - protocol.PATIENCE:
+                if trio.current_time() > began + protocol.SIGKILL_DELAY - protocol.CLIENT_RESPONSE_TIMEOUT:
                     self.clients.drain()
                 await trio.sleep(0.02)
         self.clients.refuse()
@@ -345,13 +345,13 @@
         end: so accepting has a time limit.  A client whose notification is in the ledger must get its answer
         before its connection ends."""
         accepted, closes_at = -1, trio.current_time() + LAST_COME
-        while accepted != self.clients.came and trio.current_time() < closes_at:
-            accepted = self.clients.came
+        while accepted != self.clients.accepted_count and trio.current_time() < closes_at:
+            accepted = self.clients.accepted_count
             await trio.sleep(LAST_POLL_INTERVAL)
         if self.replaced or self.decision_loop.frozen:
             return
         await self.clients.close(self.listener)
-        while self.clients.busy() or self.clients.waiting:
+        while self.clients.busy() or self.clients.request_waits:
             self.clients.drain()
             await trio.sleep(LAST_POLL_INTERVAL)
 
--- a/juniperlanding/net/notices.py
+++ b/juniperlanding/net/notices.py
@@ -24,8 +24,8 @@
         self.on_posted = on_posted
         self.counters = counters
         self.log = log
-        # due: id -> (outcome, milliseconds until a retry), oldest first; line: the connection that is kept
-        self.due, self.added, self.line = {}, trio.Event(), None
+        # due: id -> (outcome, milliseconds until a retry), oldest first; connection: the one that is kept
+        self.due, self.added, self.connection = {}, trio.Event(), None
         self.batch_limit = MAX_BATCH
         self.answer_timeout = ANSWER_TIMEOUT  # seconds for the next answer
         self.rejected_alone = set()  # those due that the platform could not read even when posted alone
@@ -39,9 +39,9 @@
         there."""
         self.address = address
         self.answer_timeout = ANSWER_TIMEOUT
-        if self.line:
-            self.close(self.line, "moved")
-            self.line = None
+        if self.connection:
+            self.close(self.connection, "moved")
+            self.connection = None
 
     async def run(self):
         while True:
@@ -108,32 +108,32 @@
         return answers[0] if answers else (0, [])
 
     async def post_with_growing_timeout(self, answers, scope):
-        line, self.line = self.line, None
-        if line and not line.quiet():
-            line = self.close(line, "closed_by_platform")
+        connection, self.connection = self.connection, None
+        if connection and not connection.has_nothing_unread():
+            connection = self.close(connection, "closed_by_platform")
         with trio.move_on_after(self.answer_timeout):
-            await self.post_once(line, answers)
+            await self.post_once(connection, answers)
         if not answers:
             self.answer_timeout = min(2 * self.answer_timeout, MAX_ANSWER_TIMEOUT)
         scope.cancel()
 
-    async def post_once(self, line, answers):
+    async def post_once(self, connection, answers):
         """Post what is due over a connection, or a new one, which is kept if it can be used again."""
         batch, address, reason = self.next_batch(), self.address, "silent"
         body = b"".join(self.encode(ntf_id, *self.due[ntf_id]) for ntf_id in batch)
         try:
-            line = line or await connect(self.network, address)
-            status, reason = await self.exchange(line, body), "not_kept"
+            connection = connection or await connect(self.network, address)
+            status, reason = await self.exchange(connection, body), "not_kept"
             if not answers:
                 answers.append((status, batch))
-            if line.reusable() and status == 204 and not self.line and address == self.address:
-                line.next()
-                self.line, line = line, None
+            if connection.reusable() and status == 204 and not self.connection and address == self.address:
+                connection.next()
+                self.connection, connection = connection, None
         except Exception as error:  # an unexpected answer must not end the process, or this task
             reason = type(error).__name__
         finally:
-            if line:
-                self.close(line, reason)
+            if connection:
+                self.close(connection, reason)
 
     @staticmethod
     def encode(ntf_id, outcome, retry_ms):
@@ -142,21 +142,21 @@
             notice["retry_in_ms"] = retry_ms
         return json.dumps(notice, separators=(",", ":")).encode() + b"\n"
 
-    async def exchange(self, line, body):
+    async def exchange(self, connection, body):
         headers = [
             ("Host", "platform"),
             ("Content-Type", "application/x-ndjson"),
             ("Content-Length", str(len(body))),
         ]
-        await line.send(
-            h11.Request(method="POST", target=protocol.NOTICES, headers=headers),
+        await connection.send(
+            h11.Request(method="POST", target=protocol.REPORTS_PATH, headers=headers),
             h11.Data(data=body),
             h11.EndOfMessage(),
         )
-        answer = await line.answer()
-        await line.rest(protocol.MOST_BODY)
+        answer = await connection.read_response_head()
+        await connection.read_response_body(protocol.MAX_BODY)
         return answer.status_code
 
-    def close(self, line, reason):
-        line.close()
+    def close(self, connection, reason):
+        connection.close()
         self.log("conn", peer="platform", end=reason)
--- a/juniperlanding/net/owner.py
+++ b/juniperlanding/net/owner.py
@@ -458,7 +458,7 @@
                     self.guarded(function, *fields)
         for call in set(self.endpoints.in_flight.values()):
             if call.written and call.connection and len(call.pushes) == 1:
-                if protocol.says_delivered(call.connection.arrived()):
+                if protocol.is_status_200(call.connection.received_head()):
                     push = call.pushes[0]
                     outcomes = [(push.id, push.number, "delivered", now - call.began_at, 0, True, None)]
                     self.guarded(self.on_outcomes, call.endpoint, outcomes, now)
@@ -598,7 +598,7 @@
                 notification = self.ledger.notifications[ntf_id]
                 in_time = ending == "delivered" and heard < notification.ttl_at  # else withdrawn, or too late
                 self.counters.count_result(notification.topic, SUCCEEDED if in_time else ABORTED)
-                if heard >= notification.ttl_at - protocol.TIME_IS_UP:
+                if heard >= notification.ttl_at - protocol.TTL_MARGIN:
                     # So close to the TTL, the answer may come too late to be the end for the client. A
                     # superfluous notice does no harm, so one is posted.
                     self.unfinished.pop(ntf_id)
--- a/juniperlanding/net/protocol.py
+++ b/juniperlanding/net/protocol.py
@@ -3,23 +3,25 @@
 from juniperlanding.choice import MS, SEC
 
 # Seconds that a client waits for its response; new connections arrive for as long after SIGTERM.
-PATIENCE = 0.4
-REQUEST_WITHIN = 2.5  # seconds from connecting, or from a later request's first byte, to the complete request
+CLIENT_RESPONSE_TIMEOUT = 0.4
+REQUEST_TIMEOUT = (
+    2.5  # seconds from connecting, or from a later request's first byte, to the complete request
+)
 MAX_WATCH_GAP = 0.2  # seconds between two calls within which they count as one watch
 # A notification counts as expired this long before its TTL by our clock, since the client counts from its
 # sending, and we count from our reading.
-TIME_IS_UP = 150 * MS
-KILL_AFTER = 3.7  # least seconds from SIGTERM to SIGKILL
-MOST_BODY = 64 << 10
-MOST_HEAD = 16 << 10
+TTL_MARGIN = 150 * MS
+SIGKILL_DELAY = 3.7  # least seconds from SIGTERM to SIGKILL
+MAX_BODY = 64 << 10
+MAX_HEAD = 16 << 10
 MAX_NAME_LENGTH = 256  # bytes of an id or a key
 
 HEALTH_PATH = b"/_health"
 SUBMIT_PATH = b"/api"
 COUNTERS_PATH = b"/_counters"
 RESPONSE_PREFIX = b"HTTP/1."
-ONE, MANY = "/v1/messages", "/v1/messages:batch"
-NOTICES, LIST = "/reports", "/catalog/members"
+MESSAGE_PATH, BATCH_PATH = "/v1/messages", "/v1/messages:batch"
+REPORTS_PATH, MEMBERS_PATH = "/reports", "/catalog/members"
 
 ID_HEADER = b"x-trace-id"
 TOPIC_HEADER = b"x-qos"
@@ -38,8 +40,12 @@
     b"content-length",
     b"transfer-encoding",
 }
-POLICY = "x-policy-number"
-RETRY, REPORT, NO_SLOT = b"retry-after", b"endpoint-load-metrics", b"x-over-slots"
+POLICY_HEADER = "x-policy-number"
+RETRY_AFTER_HEADER, LOAD_REPORT_HEADER, NO_SLOT_HEADER = (
+    b"retry-after",
+    b"endpoint-load-metrics",
+    b"x-over-slots",
+)
 
 PHASE_STATES = {"in_service": "ready", "terminating": "draining", "terminated": "gone"}
 BATCH_ENDS = {
@@ -113,7 +119,7 @@
     return len(once) > len(set(once)) or {b"content-length", b"transfer-encoding"} <= set(once)
 
 
-def wait(value):
+def parse_retry_after(value):
     """The nanoseconds of a `Retry-After` in whole or decimal seconds; 0 if it cannot be read."""
     try:
         seconds = float(value)
@@ -130,7 +136,7 @@
     return number
 
 
-def report(value, names):
+def parse_load_report(value, names):
     """The figures of a load report, `TEXT x0=0.4, x1=25`, under the names that `names` maps them to."""
     found = {}
     for part in value.decode("latin-1").partition(" ")[2].split(","):
@@ -147,7 +153,7 @@
     return head.startswith(RESPONSE_PREFIX[: len(head)])
 
 
-def says_delivered(head):
+def is_status_200(head):
     """Whether a response's first line says 200, after any interim responses.
 
     The rest of the response may be malformed; the status still holds."""
@@ -162,7 +168,7 @@
     return host, int(port)
 
 
-def entries(members, kinds, zones):
+def parse_members(members, kinds, zones):
     """((endpoint, destination, kind, scale, zone, state), address) of each member that can be read.
 
     A member in a newer form is left out; one in an unknown phase counts as draining: no new pushes."""
--- a/juniperlanding/net/succession.py
+++ b/juniperlanding/net/succession.py
@@ -18,7 +18,7 @@
 from juniperlanding.ground.log import described, where
 from juniperlanding.handover import frames, steps
 from juniperlanding.net.endpoints import Call, PushAttempt
-from juniperlanding.net.line import Line
+from juniperlanding.net.line import HttpConnection
 
 HELLO_TIMEOUT = 1.0  # seconds that a caller has to send its first message
 RETRY_INTERVAL = 0.05  # seconds between attempts to get the folder
@@ -87,7 +87,7 @@
             (endpoint, connection)
             for endpoint, connections in decision_loop.endpoints.idle.items()
             for connection in connections
-            if connection.quiet()
+            if connection.has_nothing_unread()
         ]
         calls, clients = decision_loop.endpoints.handed_over, node.clients.handed_over
         state = {
@@ -102,7 +102,9 @@
             ],
             # No revision while the full endpoint list has yet to arrive: the number is of the previous
             # discovery address.
-            "revision": None if decision_loop.discovery.whole else decision_loop.discovery.revision,
+            "revision": None
+            if decision_loop.discovery.wants_whole_list
+            else decision_loop.discovery.revision,
             "discovery": decision_loop.discovery.address,
             "following": decision_loop.discovery.on,
             "clients": [
@@ -186,7 +188,10 @@
     def clients(self):
         """(connection, seconds left for its request) of each client connection."""
         for sock, (received, left) in zip(self.groups[0], self.state["clients"], strict=True):
-            yield Line(sock, h11.SERVER, b64decode(received)), float("inf") if left is None else max(left, 0)
+            yield (
+                HttpConnection(sock, h11.SERVER, b64decode(received)),
+                float("inf") if left is None else max(left, 0),
+            )
 
     def calls(self):
         """(call, connection) of each call whose request has been written out."""
@@ -201,7 +206,7 @@
                 ],
                 began_at,
             )
-            connection = Line(sock, h11.CLIENT, b64decode(received))
+            connection = HttpConnection(sock, h11.CLIENT, b64decode(received))
             connection.used_at = used_at
             connection.http.send(h11.Request(method="POST", target="/", headers=[("Host", "endpoint")]))
             connection.http.send(
@@ -212,7 +217,7 @@
     def idle(self):
         """(endpoint, connection) of each idle connection to an endpoint."""
         for sock, (endpoint, used_at) in zip(self.groups[2], self.state["idle"], strict=True):
-            connection = Line(sock, h11.CLIENT)
+            connection = HttpConnection(sock, h11.CLIENT)
             connection.used_at = used_at
             yield endpoint, connection
 
@@ -231,7 +236,7 @@
 
     `connection.early` holds what the previous process received: if the connection is frozen before it is read
     again, those bytes are still there."""
-    return b64encode(b"".join([*connection.raw, connection.early])).decode()
+    return b64encode(b"".join([*connection.message_bytes, connection.early])).decode()
 
 
 class Succession:
--- a/juniperlanding/soak/defects.py
+++ b/juniperlanding/soak/defects.py
@@ -86,8 +86,8 @@
 @defect
 def half_requests_stay():
     """Half a request is waited for without end."""
-    clients.protocol.REQUEST_WITHIN = 60.0
-    clients.Clients.attend.__defaults__ = (60.0,)
+    clients.protocol.REQUEST_TIMEOUT = 60.0
+    clients.Clients.serve_connection.__defaults__ = (60.0,)
 
 
 @defect
@@ -106,4 +106,4 @@
 @defect
 def waits_ignored():
     """A wait that an endpoint tells is not heard."""
-    endpoints.protocol.wait = lambda value: 0
+    endpoints.protocol.parse_retry_after = lambda value: 0
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,7 +22,7 @@
 from juniperlanding.net import line as lines
 from juniperlanding.net import owner as owners
 from juniperlanding.net import protocol
-from juniperlanding.net.line import Line
+from juniperlanding.net.line import HttpConnection
 from juniperlanding.standins.peers import http, member, read_message
 
 KINDS = {"news": "repeatable", "pay": "collapsible", "order": "once-only"}
@@ -115,7 +115,7 @@
 ):
     """What has arrived is read; the rest is not waited for."""
     outcomes = []
-    monkeypatch.setattr(lines, "ANSWER_WITHIN", 60)
+    monkeypatch.setattr(lines, "RESPONSE_TIMEOUT", 60)
 
     async def scene(site):
         calls = await endpoints(site, outcomes)
@@ -148,7 +148,7 @@
     site, monkeypatch, count, arrived, ending
 ):
     outcomes = []
-    monkeypatch.setattr(lines, "ANSWER_WITHIN", 60)
+    monkeypatch.setattr(lines, "RESPONSE_TIMEOUT", 60)
 
     async def scene(site):
         calls = await endpoints(site, outcomes)
@@ -168,21 +168,21 @@
 def test_a_line_that_gets_whole_as_its_connection_is_closed_still_counts(
     site, monkeypatch, count, ending, before
 ):
-    outcomes, original, late = [], Line.arrived, []
+    outcomes, original, late = [], HttpConnection.received_head, []
 
-    def arrived(line):
+    def received_head(connection):
         if late:
             site.peer.say(*late.pop())
-        return original(line)
+        return original(connection)
 
     async def scene(site):
         calls = await endpoints(site, outcomes)
         call = await written_call(site, calls, count)
         if before:
             site.peer.say(call, before)
-            await site.until(lambda: call.connection.head == before)
+            await site.until(lambda: call.connection.unparsed_head == before)
         late.append((call, HALF_A_HEAD[len(before) :]))
-        monkeypatch.setattr(Line, "arrived", arrived)
+        monkeypatch.setattr(HttpConnection, "received_head", received_head)
         time_out(call)
         await site.until(lambda: len(outcomes) == count)
         assert {outcome[2] for outcome in outcomes} == {ending} and not late
@@ -229,9 +229,9 @@
 
 def end_before_last_byte(monkeypatch, calls, how):
     """Has a call end when all of its request but the last byte is written."""
-    original = Line.waiting
+    original = HttpConnection.unread
 
-    def waiting(line):
+    def unread(connection):
         if calls.in_flight:
             (call,) = calls.in_flight.values()
             if how == "cancel":
@@ -240,9 +240,9 @@
                 calls.recall({"s-1"})
             else:
                 call.scope.cancel()
-        return original(line)
+        return original(connection)
 
-    monkeypatch.setattr(Line, "waiting", waiting)
+    monkeypatch.setattr(HttpConnection, "unread", unread)
 
 
 @pytest.mark.parametrize("how", ["cancel", "recall", "time-out"])
@@ -314,7 +314,7 @@
 @pytest.mark.parametrize("race", RACES)
 def test_each_race_has_one_outcome_for_each_kind(site, monkeypatch, race, topic):
     act, outcome, ran = RACES[race]
-    monkeypatch.setattr(lines, "ANSWER_WITHIN", 0.05)
+    monkeypatch.setattr(lines, "RESPONSE_TIMEOUT", 0.05)
 
     async def scene(site):
         site.far = site.peer = await Peer().open(site.nursery)
@@ -472,18 +472,18 @@
 @pytest.mark.parametrize("kept", [True, False])
 def test_a_kill_right_behind_the_yes_finds_it_untried(site, monkeypatch, kept, topic):
     """Over a new connection or a kept one: all but the last byte is written, so nothing has run."""
-    original, is_killed = Line.waiting, trio.Event()
+    original, is_killed = HttpConnection.unread, trio.Event()
 
-    def waiting(line):
+    def unread(connection):
         if is_killed.is_set():
-            return original(line)
+            return original(connection)
         for call in site.node.decision_loop.endpoints.in_flight.values():
-            if call.connection is line and not call.written and call.pushes[0].id == "a":
+            if call.connection is connection and not call.written and call.pushes[0].id == "a":
                 site.content = (site.folder / "state" / "ledger").read_bytes()
-                line.sock.abort()
+                connection.sock.abort()
                 site.kill()
                 is_killed.set()
-        return original(line)
+        return original(connection)
 
     async def scene(site):
         await site.start()
@@ -491,7 +491,7 @@
             assert await site.submit("z", "news") == 202
             await site.until(lambda: not site.node.ledger.notifications)
             assert site.node.decision_loop.endpoints.idle["s-1"]
-        monkeypatch.setattr(Line, "waiting", waiting)
+        monkeypatch.setattr(HttpConnection, "unread", unread)
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError, TypeError):
             await site.submit("a", topic, ttl=9000)
         await is_killed.wait()
@@ -512,18 +512,18 @@
     async def scene(site):
         site.far = site.peer = await Peer().open(site.nursery)
         node = await site.start()
-        reached, write = trio.Event(), Line.write
+        reached, write = trio.Event(), HttpConnection.write
 
-        async def write_last_byte(line, parts):
+        async def write_last_byte(connection, parts):
             if not reached.is_set() and len(parts) == 1 and len(parts[0]) == 1:
                 if byte == "after":
-                    await write(line, parts)
+                    await write(connection, parts)
                     await site.until(lambda: site.peer.got)
                 reached.set()
                 await trio.sleep_forever()
-            await write(line, parts)
+            await write(connection, parts)
 
-        monkeypatch.setattr(Line, "write", write_last_byte)
+        monkeypatch.setattr(HttpConnection, "write", write_last_byte)
         assert await site.submit("a", topic, ttl=9000) == 202
         await reached.wait()
         assert list(owed(site)["a"].possible_runs) == [0] and node.ledger.notifications["a"].pushes == 1
@@ -592,7 +592,7 @@
 
         def off():
             if how == "drain":
-                found = protocol.entries([member(1, site.far.address, "terminating")], ["m1"], ["a"])
+                found = protocol.parse_members([member(1, site.far.address, "terminating")], ["m1"], ["a"])
                 node.decision_loop.try_enqueue(node.decision_loop.on_list_news, "changes", found)
             else:
                 calls.recall({"s-1"})
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -77,8 +77,8 @@
         old.decision_loop.submit = submit_and_freeze
         assert await site.submit("a1", stream=stream) == 202
         new = await hand_over.completed()
-        await site.until(lambda: new.clients.waiting)
-        assert [one.until for one in new.clients.waiting] == [float("inf")]
+        await site.until(lambda: new.clients.request_waits)
+        assert [one.until for one in new.clients.request_waits] == [float("inf")]
         assert await site.submit("a2", stream=stream) == 202
 
     site.run(scene)
@@ -87,32 +87,32 @@
 def test_a_client_that_comes_as_all_is_frozen_has_its_time_and_no_more(site):
     async def scene(site):
         old = await first(site)
-        hand_over, attend = HandOver(site, old), old.clients.attend
+        hand_over, attend = HandOver(site, old), old.clients.serve_connection
         await hand_over.request()
 
         async def freeze_before_attending(*fields):
             hand_over.proceed()
             await attend(*fields)
 
-        old.clients.attend = freeze_before_attending
+        old.clients.serve_connection = freeze_before_attending
         stream = await site.client()
         new = await hand_over.completed()
-        await site.until(lambda: new.clients.waiting)
-        latest = trio.current_time() + protocol.REQUEST_WITHIN
-        assert all(one.until <= latest for one in new.clients.waiting)
+        await site.until(lambda: new.clients.request_waits)
+        latest = trio.current_time() + protocol.REQUEST_TIMEOUT
+        assert all(one.until <= latest for one in new.clients.request_waits)
         assert (await site.ask(REQUEST, stream))[0] == 202
 
     site.run(scene)
 
 
 def test_the_list_is_asked_for_whole_when_a_move_was_not_over_at_the_hand_over(site, monkeypatch):
-    send, requested = line.Line.send, []
+    send, requested = line.HttpConnection.send, []
 
     async def record_and_send(self, *events):
         requested.extend(event.target.decode() for event in events if getattr(event, "method", b"") == b"GET")
         await send(self, *events)
 
-    monkeypatch.setattr(line.Line, "send", record_and_send)
+    monkeypatch.setattr(line.HttpConnection, "send", record_and_send)
 
     async def scene(site):
         old = await first(site)
@@ -123,7 +123,7 @@
         await site.until(lambda: len(requested) == 2)
         await start_with_late_first_iteration(site, lambda: len(requested) == 3)
         await site.until(lambda: len(requested) == 3)
-        assert requested[1:] == [protocol.LIST] * 2
+        assert requested[1:] == [protocol.MEMBERS_PATH] * 2
 
     site.run(scene)
 
@@ -172,17 +172,19 @@
             new.decision_loop.start_module, new.succession.give = begin_and_freeze, give_to_nobody
             return new
 
-        await site.until(lambda: any(line.raw for line in site.node.clients.waiting))
+        await site.until(
+            lambda: any(connection.message_bytes for connection in site.node.clients.request_waits)
+        )
         new = await succession.begin(make, config, site.world)
         site.nursery.start_soon(new.run)
-        await site.until(lambda: new.clients.waiting and not new.decision_loop.frozen)
+        await site.until(lambda: new.clients.request_waits and not new.decision_loop.frozen)
         assert (await site.ask(REQUEST[60:], stream))[0] == 202
 
     site.run(scene)
 
 
 def test_an_answer_half_read_at_the_hand_over_is_heard_whole_by_the_new_process(site, monkeypatch):
-    monkeypatch.setattr(line, "ANSWER_WITHIN", 60)
+    monkeypatch.setattr(line, "RESPONSE_TIMEOUT", 60)
     answer, send_rest, calls = http(200), trio.Event(), []
 
     async def answer_in_two_parts(stream):
@@ -198,7 +200,9 @@
         old = await first(site)
         assert await site.submit("a1", "order") == 202
         in_flight = old.decision_loop.endpoints.in_flight
-        await site.until(lambda: any(call.connection and call.connection.head for call in in_flight.values()))
+        await site.until(
+            lambda: any(call.connection and call.connection.unparsed_head for call in in_flight.values())
+        )
         new = await replace(site)
         send_rest.set()
         await site.until(lambda: not new.ledger.notifications)
--- a/tests/test_endings_drain.py
+++ b/tests/test_endings_drain.py
@@ -15,30 +15,30 @@
 from juniperlanding.net import clients as clients_module
 from juniperlanding.net import protocol
 from juniperlanding.net.clients import Clients
-from juniperlanding.net.line import Line
+from juniperlanding.net.line import HttpConnection
 from juniperlanding.standins.peers import http, read_message
 
 SHORT = 0.2  # seconds that a new client gets where the test waits until they have passed
 
 
-def send_as_begin_is_cancelled(monkeypatch, applies_to=lambda line: True):
-    """As `Line.begin` is cancelled, data arrives before any other task runs.
+def send_as_begin_is_cancelled(monkeypatch, applies_to=lambda connection: True):
+    """As `HttpConnection.wait_for_message` is cancelled, data arrives before any other task runs.
 
     Returns a list to which the test adds what to send, (socket, data)."""
-    original_begin, to_send = Line.begin, []
+    original_begin, to_send = HttpConnection.wait_for_message, []
 
-    async def begin(line):
+    async def wait_for_message(connection):
         try:
-            return await original_begin(line)
+            return await original_begin(connection)
         except trio.Cancelled:
-            if to_send and applies_to(line):
+            if to_send and applies_to(connection):
                 sock, data = to_send.pop()
                 sock.send(data)
-                while line.sock.peek() is None:  # on loopback it arrives at once
+                while connection.sock.peek() is None:  # on loopback it arrives at once
                     pass
             raise
 
-    monkeypatch.setattr(Line, "begin", begin)
+    monkeypatch.setattr(HttpConnection, "wait_for_message", wait_for_message)
     return to_send
 
 
@@ -63,8 +63,10 @@
     [("silent", False), ("evicted", False), ("evicted", True), ("drained", False), ("drained", True)],
 )
 def test_a_request_that_comes_as_its_connection_is_given_up_is_answered(site, monkeypatch, how, kept):
-    monkeypatch.setattr(Clients.attend, "__defaults__", (SHORT if how == "silent" else 2.5,))
-    monkeypatch.setattr(clients_module, "LAST_REST_WITHIN", 0.0 if how == "drained" else SHORT, raising=False)
+    monkeypatch.setattr(Clients.serve_connection, "__defaults__", (SHORT if how == "silent" else 2.5,))
+    monkeypatch.setattr(
+        clients_module, "DRAINED_REQUEST_TIMEOUT", 0.0 if how == "drained" else SHORT, raising=False
+    )
     to_send = send_as_begin_is_cancelled(monkeypatch)
 
     async def scene(site):
@@ -72,7 +74,7 @@
         stream = await site.client()
         if kept:
             assert await site.submit("a1", stream=stream) == 202
-        await site.until(lambda: node.clients.waiting)
+        await site.until(lambda: node.clients.request_waits)
         to_send.append((stream.socket._sock, handed("X-Trace-Id: a2")))
         end_by(node, how)
         assert await heard(stream) in (202, 503) and not to_send
@@ -82,14 +84,14 @@
 
 @pytest.mark.parametrize("how", ["evicted", "drained"])
 def test_half_a_request_still_gets_whole_as_its_connection_is_given_up(site, monkeypatch, how):
-    monkeypatch.setattr(clients_module, "REST_WITHIN", 5.0, raising=False)
-    monkeypatch.setattr(clients_module, "LAST_REST_WITHIN", 5.0, raising=False)
+    monkeypatch.setattr(clients_module, "EVICTED_REQUEST_TIMEOUT", 5.0, raising=False)
+    monkeypatch.setattr(clients_module, "DRAINED_REQUEST_TIMEOUT", 5.0, raising=False)
 
     async def scene(site):
         node = await site.start()
         stream, request = await site.client(), handed("X-Trace-Id: a2", "Content-Length: 5", body=b"hello")
         await stream.send_all(request[:-2])
-        await site.until(lambda: any(line.raw for line in node.clients.waiting))
+        await site.until(lambda: any(connection.message_bytes for connection in node.clients.request_waits))
         end_by(node, how)
         await stream.send_all(request[-2:])
         assert await heard(stream) == 202
@@ -98,24 +100,24 @@
 
 
 def test_the_rest_that_comes_as_its_time_ends_is_answered_503_and_not_reset(site, monkeypatch):
-    monkeypatch.setattr(clients_module, "REST_WITHIN", 0.0, raising=False)
-    original_body, sockets = Line.body, []
+    monkeypatch.setattr(clients_module, "EVICTED_REQUEST_TIMEOUT", 0.0, raising=False)
+    original_body, sockets = HttpConnection.body, []
 
-    async def body(line, most):
+    async def body(connection, most):
         try:
-            return await original_body(line, most)
+            return await original_body(connection, most)
         except trio.Cancelled:
             sockets.pop().send(b"lo")
-            while line.sock.peek() is None:
+            while connection.sock.peek() is None:
                 pass
             raise
 
-    monkeypatch.setattr(Line, "body", body)
+    monkeypatch.setattr(HttpConnection, "body", body)
 
     async def scene(site):
         node, stream = await site.start(), await site.client()
         await stream.send_all(handed("X-Trace-Id: a2", "Content-Length: 5", body=b"hel"))
-        await site.until(lambda: any(line.raw for line in node.clients.waiting))
+        await site.until(lambda: any(connection.message_bytes for connection in node.clients.request_waits))
         sockets.append(stream.socket._sock)
         node.clients.evict()
         assert await heard(stream) == 503
@@ -128,7 +130,7 @@
     async def scene(site):
         node, stream = await site.start(), await site.client()
         assert await site.submit("a1", stream=stream) == 202
-        await site.until(lambda: node.clients.waiting and site.far.got)
+        await site.until(lambda: node.clients.request_waits and site.far.got)
         end_by(node, how)
         assert await stream.receive_some() == b""
         await stream.send_all(handed("X-Trace-Id: a2"))
@@ -142,13 +144,13 @@
 
 
 def test_those_turned_away_who_stay_keep_no_place_from_the_next(site, monkeypatch):
-    monkeypatch.setattr("juniperlanding.net.line.LINGER", 60)
+    monkeypatch.setattr("juniperlanding.net.line.LINGER_TIMEOUT", 60)
     site.limits = {"disk_mb": 3, "sockets": 52}  # eight connections, and eight over the limit
 
     async def scene(site):
         node = await site.start()
         streams = [await site.client() for _ in range(40)]
-        # If those that stay kept their places for `LINGER`, this would take 60 s for every 16 of them.
+        # If those that stay kept their places for `LINGER_TIMEOUT`, this would take 60 s for each 16 of them.
         with trio.fail_after(5):
             for stream in streams[:30]:
                 assert await stream.receive_some() == b""
@@ -170,7 +172,7 @@
 
 def shorten_drain(monkeypatch):
     """The last phase of the drain begins after 0.3 s, and may last five seconds, which no test needs."""
-    monkeypatch.setattr(protocol, "KILL_AFTER", 5.4)
+    monkeypatch.setattr(protocol, "SIGKILL_DELAY", 5.4)
     monkeypatch.setattr("juniperlanding.net.node.LAST_WORDS", 5.0, raising=False)
 
 
@@ -186,10 +188,10 @@
     shorten_drain(monkeypatch)
     original_respond = Clients.respond
 
-    async def respond(clients, line, status, *more, **named):
+    async def respond(clients, connection, status, *more, **named):
         if status == 202:  # it is in the ledger, and the client's task runs only now
             await site.until(lambda: clients.accepting.cancel_called)
-        return await original_respond(clients, line, status, *more, **named)
+        return await original_respond(clients, connection, status, *more, **named)
 
     monkeypatch.setattr(Clients, "respond", respond)
 
@@ -206,7 +208,7 @@
 def test_who_comes_in_the_last_moments_is_told_to_come_again(site):
     async def scene(site):
         node, stream = await site.start(), await site.client()
-        await site.until(lambda: node.clients.waiting)
+        await site.until(lambda: node.clients.request_waits)
         node.clients.refuse()
         assert await site.submit("a1", stream=stream) == 503 and not node.ledger.notifications
 
@@ -251,7 +253,7 @@
 
     async def scene(site):
         node = await site.start()
-        accepting_ended = node.clients.accepts_nobody
+        accepting_ended = node.clients.accept_stopped
 
         class ConnectsOnceEnded:
             async def wait(self):
@@ -264,7 +266,7 @@
             def set(self):
                 accepting_ended.set()
 
-        node.clients.accepts_nobody = ConnectsOnceEnded()
+        node.clients.accept_stopped = ConnectsOnceEnded()
         site.nursery.start_soon(stop, site)
         await site.until(lambda: streams)
         assert await heard(streams[0]) == 503
@@ -316,8 +318,8 @@
     # Less than the 2.5 s for which such clients would be waited for.
     monkeypatch.setattr("juniperlanding.net.node.LAST_WORDS", 2.2)
     monkeypatch.setattr("juniperlanding.net.node.LAST_ANSWERED", 1.0, raising=False)
-    monkeypatch.setattr(clients_module, "LAST_REST_WITHIN", 60.0)
-    sockets, accepted, withdrawn, send, accept = [], [], [], Line.send, Listener.accept
+    monkeypatch.setattr(clients_module, "DRAINED_REQUEST_TIMEOUT", 60.0)
+    sockets, accepted, withdrawn, send, accept = [], [], [], HttpConnection.send, Listener.accept
     request = b"" if how == "say nothing" else handed("X-Trace-Id: a1")
 
     def connect():
@@ -334,12 +336,12 @@
 
     monkeypatch.setattr(Listener, "accept", accept_and_connect_again)
 
-    async def send_unless_unread(line, *events):
-        if how == "read nothing" and line.http.our_role is h11.SERVER:
+    async def send_unless_unread(connection, *events):
+        if how == "read nothing" and connection.http.our_role is h11.SERVER:
             await trio.sleep_forever()
-        await send(line, *events)
+        await send(connection, *events)
 
-    monkeypatch.setattr(Line, "send", send_unless_unread)
+    monkeypatch.setattr(HttpConnection, "send", send_unless_unread)
 
     async def scene(site):
         node = await site.start()
@@ -406,7 +408,7 @@
         assert await site.submit("a1", "order") == 202
         await site.until(lambda: streams)
         (call,) = set(node.decision_loop.endpoints.in_flight.values())
-        await site.until(lambda: call.written and call.connection.head == before)
+        await site.until(lambda: call.written and call.connection.unparsed_head == before)
         streams[0].socket._sock.send(ANSWER[len(before) : 50])
         while call.connection.sock.peek() is None:
             pass
--- a/tests/test_moved_endpoint.py
+++ b/tests/test_moved_endpoint.py
@@ -20,7 +20,7 @@
             site.far.go.set()
             await site.until(lambda: not node.ledger.notifications)
         moved = await Far().open(site.nursery)
-        found = protocol.entries([member(1, moved.address)], ["m1", "m2"], ["a"])
+        found = protocol.parse_members([member(1, moved.address)], ["m1", "m2"], ["a"])
         await node.decision_loop.enqueue(node.decision_loop.on_list_news, "changes", found)
         await node.decision_loop.enqueue(len, "")  # returns once the loop has processed the list
         site.far.go.set()  # the response to a call in progress is still read
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -27,7 +27,7 @@
 from juniperlanding.net.counters import Counters
 from juniperlanding.net.endpoints import Endpoints, PushAttempt
 from juniperlanding.net.ledger import Ledger, LedgerState, line
-from juniperlanding.net.line import Line
+from juniperlanding.net.line import HttpConnection
 from juniperlanding.net.node import Node
 from juniperlanding.net.owner import Answer
 from juniperlanding.processes.rig import free
@@ -381,7 +381,7 @@
 @pytest.mark.parametrize("answer, ending", [(http(200), "delivered"), (http(500), "error"), (b"", "timeout")])
 def test_an_answer_that_came_before_our_first_look_at_it_counts(site, monkeypatch, answer, ending):
     outcomes = []
-    write = Line.write
+    write = HttpConnection.write
 
     def serve(listener):
         with listener.accept()[0] as sock:
@@ -390,16 +390,16 @@
             with suppress(OSError):
                 sock.recv(4096)
 
-    async def write_and_block(line, parts):
+    async def write_and_block(connection, parts):
         is_last_byte = len(parts) == 1 and len(parts[0]) == 1
-        await write(line, parts)
+        await write(connection, parts)
         if is_last_byte:
             time.sleep(0.2)  # the last byte has left; the time-out passes before the response is read
             await trio.lowlevel.cancel_shielded_checkpoint()
 
     async def scene(site):
         calls = await endpoints(site, outcomes)
-        monkeypatch.setattr(Line, "write", write_and_block)
+        monkeypatch.setattr(HttpConnection, "write", write_and_block)
         with endpoint_in_thread(serve, calls):
             calls.start(site.nursery, "s-1", [send("a", SEC // 10)])
             await site.until(lambda: outcomes)
@@ -470,7 +470,7 @@
             node.decision_loop.endpoints.addresses["s-1"] = listener.getsockname()
             assert await site.submit("a1", "order") == 202
             await site.until(lambda: node.decision_loop.endpoints.in_flight)
-            news = protocol.entries([member(1, listener.getsockname(), phase)], ["m1"], ["a"])
+            news = protocol.parse_members([member(1, listener.getsockname(), phase)], ["m1"], ["a"])
             await node.decision_loop.enqueue(node.decision_loop.on_list_news, "changes", news)
             await site.until(lambda: node.counters["pushes_moot"])
             # The push was called back before it left, so the ledger has no record of it.
@@ -524,7 +524,7 @@
         node = await site.start()
         await site.until(lambda: node.decision_loop.ready)
         assert node.ledger.notifications["a1"].ttl_at == first
-        found = protocol.entries([member(2, site.far.address, cell=8)], ["m1"], ["a"])
+        found = protocol.parse_members([member(2, site.far.address, cell=8)], ["m1"], ["a"])
         await node.decision_loop.enqueue(node.decision_loop.on_list_news, "changes", found)
         await site.until(lambda: site.far.got and not node.ledger.notifications)
 
@@ -904,15 +904,18 @@
 
 
 def test_an_entry_keeps_to_what_is_known_and_reports_to_what_is_named():
-    entry, address = protocol.entries([member(1, ("h", 5), "odd", "m9")], ["m1", "m2"], ["a"])[0]
+    entry, address = protocol.parse_members([member(1, ("h", 5), "odd", "m9")], ["m1", "m2"], ["a"])[0]
     assert entry == ("s-1", 7, 2, 50.0, 0, "draining") and address == ("h", 5)
     names = {"x0": "limit_left", "x1": "limit"}
-    assert protocol.report(b"TEXT x0=0.4, x1=25, y=1, x0", names) == {"limit_left": 0.4, "limit": 25.0}
+    assert protocol.parse_load_report(b"TEXT x0=0.4, x1=25, y=1, x0", names) == {
+        "limit_left": 0.4,
+        "limit": 25.0,
+    }
     for invalid in ("nan", "inf", "-1", "1e999", ""):
-        assert protocol.report(f"TEXT x1={invalid}".encode(), names) == {}
+        assert protocol.parse_load_report(f"TEXT x1={invalid}".encode(), names) == {}
     invalid = [member(1, ("h", 5)) | {"size": size} for size in (float("nan"), float("inf"), -1, None)]
-    assert protocol.entries(invalid, ["m1"], ["a"]) == []
-    assert [protocol.wait(value) for value in (b"1.5", b"2", b"-1", b"nan", b"x", b"1e400")] == [
+    assert protocol.parse_members(invalid, ["m1"], ["a"]) == []
+    assert [protocol.parse_retry_after(value) for value in (b"1.5", b"2", b"-1", b"nan", b"x", b"1e400")] == [
         3 * SEC // 2,
         2 * SEC,
         0,
@@ -1313,7 +1316,7 @@
     async def scene(site):
         node = await site.start()
         stream = await site.client()
-        await site.until(lambda: node.clients.waiting)
+        await site.until(lambda: node.clients.request_waits)
         sock = stream.socket
         text = b"POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a1\r\nX-Qos: news\r\nX-Expires-In-Ms: 500\r\n"
         await sock.send(text + b"X-Addressing: dest=7\r\nContent-Length: 0\r\n\r\n")
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -102,7 +102,7 @@
 
 def working(first, headers, body):
     """An endpoint that accepts every notification."""
-    if first.split()[1] != protocol.MANY:
+    if first.split()[1] != protocol.BATCH_PATH:
         return http(200)
     outcomes = [{"id": message["id"], "state": "accepted"} for message in json.loads(body)]
     return http(200, json.dumps(outcomes).encode())
@@ -114,9 +114,14 @@
     Only calls on the two known paths count: a test running in parallel may call a port that was reused."""
     calls = [(first.split()[1], headers, body) for first, headers, body in far.got]
     batched = [
-        message["id"] for path, _, body in calls if path == protocol.MANY for message in json.loads(body)
+        message["id"]
+        for path, _, body in calls
+        if path == protocol.BATCH_PATH
+        for message in json.loads(body)
     ]
-    return Counter(batched + [headers["x-trace-id"] for path, headers, _ in calls if path == protocol.ONE])
+    return Counter(
+        batched + [headers["x-trace-id"] for path, headers, _ in calls if path == protocol.MESSAGE_PATH]
+    )
 
 
 @pytest.mark.parametrize("settings", CASES.values(), ids=CASES)
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -26,14 +26,14 @@
 @pytest.fixture
 def no_grace(monkeypatch):
     """Evicted connections get no grace period."""
-    monkeypatch.setattr(ends, "REST_WITHIN", 0.0)
-    monkeypatch.setattr(ends, "LAST_REST_WITHIN", 0.0)
+    monkeypatch.setattr(ends, "EVICTED_REQUEST_TIMEOUT", 0.0)
+    monkeypatch.setattr(ends, "DRAINED_REQUEST_TIMEOUT", 0.0)
 
 
 def server_line(node, stream):
     """The process's side of a client's connection."""
     port = stream.socket.getsockname()[1]
-    return next(line for line in node.clients.waiting if line.sock.peer()[1] == port)
+    return next(connection for connection in node.clients.request_waits if connection.sock.peer()[1] == port)
 
 
 # ---- which connection is evicted
@@ -45,11 +45,11 @@
     async def scene(site):
         node, stream = await site.start(), await site.client()
         await stream.send_all(ASKS[:-2])
-        await site.until(lambda: any(line.raw for line in node.clients.waiting))
-        line, idle = server_line(node, stream), [await site.client() for _ in range(30)]
+        await site.until(lambda: any(connection.message_bytes for connection in node.clients.request_waits))
+        connection, idle = server_line(node, stream), [await site.client() for _ in range(30)]
         for gone in idle[:20]:  # each of them after the request had begun
             assert await gone.receive_some() == b""
-        assert line in node.clients.waiting
+        assert connection in node.clients.request_waits
         await stream.send_all(ASKS[-2:])
         assert await heard(stream) == 202
 
@@ -59,11 +59,11 @@
 def test_who_has_asked_unread_is_not_idle(site, no_grace):
     async def scene(site):
         node, stream = await site.start(), await site.client()
-        await site.until(lambda: len(node.clients.waiting) == 1)
-        line, idle = server_line(node, stream), await site.client()
-        await site.until(lambda: len(node.clients.waiting) == 2)
+        await site.until(lambda: len(node.clients.request_waits) == 1)
+        connection, idle = server_line(node, stream), await site.client()
+        await site.until(lambda: len(node.clients.request_waits) == 2)
         stream.socket._sock.send(ASKS[:-2])
-        while line.waiting() is None:  # on loopback it has arrived already
+        while connection.unread() is None:  # on loopback it has arrived already
             pass
         node.clients.evict()
         assert await idle.receive_some() == b""
@@ -78,23 +78,25 @@
         node, halves = await site.start(), [await site.client() for _ in range(3)]
         for stream in halves:
             await stream.send_all(ASKS[:-2])
-        await site.until(lambda: sum(bool(line.raw) for line in node.clients.waiting) == 3)
+        await site.until(
+            lambda: sum(bool(connection.message_bytes) for connection in node.clients.request_waits) == 3
+        )
         stream = await site.client()
-        await site.until(lambda: len(node.clients.waiting) == 4)
-        line = server_line(node, stream)
+        await site.until(lambda: len(node.clients.request_waits) == 4)
+        connection = server_line(node, stream)
         node.clients.evict()
-        assert line in node.clients.waiting and len(node.clients.waiting) == 3
+        assert connection in node.clients.request_waits and len(node.clients.request_waits) == 3
         assert await site.submit("a1", stream=stream) == 202
 
     site.run(scene)
 
 
 def test_who_just_came_has_a_moment_to_ask(site, monkeypatch):
-    monkeypatch.setattr(ends, "REST_WITHIN", 5.0)
+    monkeypatch.setattr(ends, "EVICTED_REQUEST_TIMEOUT", 5.0)
 
     async def scene(site):
         node, stream = await site.start(), await site.client()
-        await site.until(lambda: node.clients.waiting)
+        await site.until(lambda: node.clients.request_waits)
         node.clients.evict()
         await trio.testing.wait_all_tasks_blocked()
         assert await site.submit("a1", stream=stream) == 202
@@ -146,7 +148,7 @@
         if not up:
             return None if down == "silent" else "reset"
         if first.startswith("POST"):
-            notices.extend(json.loads(line)["message"] for line in body.splitlines())
+            notices.extend(json.loads(text)["message"] for text in body.splitlines())
             return http(204)
         document = {
             "revision": 2,
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -96,7 +96,7 @@
             f"X-Expires-In-Ms: 9000\r\nX-Addressing: dest=7\r\nContent-Length: 2\r\n\r\nhi"
         )
         status, self.headers = await self.ask(text.encode())
-        return status, self.headers.get(protocol.POLICY)
+        return status, self.headers.get(protocol.POLICY_HEADER)
 
 
 @pytest.fixture
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -50,7 +50,7 @@
 
 async def opened(site, node):
     """The list puts an endpoint of that destination in service."""
-    found = protocol.entries([member(8, site.far.address, cell=8)], ["m1", "m2"], ["a"])
+    found = protocol.parse_members([member(8, site.far.address, cell=8)], ["m1", "m2"], ["a"])
     await node.decision_loop.enqueue(node.decision_loop.on_list_news, "changes", found)
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -17,7 +17,7 @@
 from juniperlanding.net.clients import Clients
 from juniperlanding.net.counters import VIOLATIONS
 from juniperlanding.net.endpoints import Endpoints
-from juniperlanding.net.line import Line
+from juniperlanding.net.line import HttpConnection
 from juniperlanding.rules import AcceptFacts, CloseFacts, Reason, SendFacts
 from juniperlanding.standins.peers import http, member
 
@@ -91,24 +91,24 @@
 
 def test_a_process_that_stands_still_before_the_last_byte_sends_nothing_past_its_deadline(site, monkeypatch):
     """The deadline passes between the check and the write, with no checkpoint of the scheduler in between."""
-    send_in_two = Line.send_in_two
+    send_holding_last_byte = HttpConnection.send_holding_last_byte
 
-    async def held(line, *events, leaves):
+    async def held(connection, *events, before_last_byte):
         def late():
             time.sleep(0.5)
-            leaves()
+            before_last_byte()
 
-        await send_in_two(line, *events, leaves=late)
+        await send_holding_last_byte(connection, *events, before_last_byte=late)
 
     async def scene(site):
         node = await site.start()
         assert await site.submit("a0", "order", dest=8, ttl=400) == 202
         assert await site.submit("a1", "order", dest=8) == 202
-        monkeypatch.setattr(Line, "send_in_two", held)
-        found = protocol.entries([member(9, site.far.address, cell=8, kind="m2")], ["m1", "m2"], ["a"])
+        monkeypatch.setattr(HttpConnection, "send_holding_last_byte", held)
+        found = protocol.parse_members([member(9, site.far.address, cell=8, kind="m2")], ["m1", "m2"], ["a"])
         await node.decision_loop.enqueue(node.decision_loop.on_list_news, "changes", found)
         await site.until(lambda: site.platform.notices and node.counters["withheld_expired"])
-        monkeypatch.setattr(Line, "send_in_two", send_in_two)
+        monkeypatch.setattr(HttpConnection, "send_holding_last_byte", send_holding_last_byte)
         await site.until(lambda: not node.ledger.notifications)
         assert sent(site) == ["a1"] and len(got(site.far)) == 1
         assert [notice["message"] for notice in site.platform.notices] == ["a0"]
@@ -152,7 +152,7 @@
 def test_a_connection_that_is_closed_over_a_whole_request_is_counted(site, monkeypatch):
     """Seeded defect: the answer is decided and never written."""
 
-    async def unanswered(self, line, status, headers=(), payload=b"", reason="closed"):
+    async def unanswered(self, connection, status, headers=(), payload=b"", reason="closed"):
         return "closed_by_us"
 
     site.violations = 1
--- a/tests/test_standing_bytes.py
+++ b/tests/test_standing_bytes.py
@@ -19,7 +19,7 @@
 from juniperlanding.choice import SEC
 from juniperlanding.ground import seams
 from juniperlanding.net import clients as ends
-from juniperlanding.net.line import READ_SIZE, Line
+from juniperlanding.net.line import READ_SIZE, HttpConnection
 from juniperlanding.standins.peers import http, read_message
 
 PIECE_SIZE = 7  # bytes
@@ -186,15 +186,15 @@
     closed = []
     first, more = ENDLESS[what]
     head_sizes = []
-    receive = Line.receive
+    receive = HttpConnection.receive
 
-    async def measured_receive(line):
+    async def measured_receive(connection):
         try:
-            return await receive(line)
+            return await receive(connection)
         finally:
-            head_sizes.append(len(line.head))
+            head_sizes.append(len(connection.unparsed_head))
 
-    monkeypatch.setattr(Line, "receive", measured_receive)
+    monkeypatch.setattr(HttpConnection, "receive", measured_receive)
 
     async def serve(stream):
         await read_message(stream, bytearray())
@@ -243,16 +243,16 @@
 )
 def test_a_byte_behind_the_last_request_does_not_take_its_answer_away(site, monkeypatch, text, status):
     """Old clients send a line end after a body; a close with it unread would reset the connection."""
-    monkeypatch.setattr("juniperlanding.net.protocol.REQUEST_WITHIN", 0.3)
-    monkeypatch.setattr(ends.Clients.attend, "__defaults__", (0.3,))
+    monkeypatch.setattr("juniperlanding.net.protocol.REQUEST_TIMEOUT", 0.3)
+    monkeypatch.setattr(ends.Clients.serve_connection, "__defaults__", (0.3,))
     send_response = ends.Clients.send_response
     senders = []
 
-    async def send_after_byte(clients, line, *fields, **named):
+    async def send_after_byte(clients, connection, *fields, **named):
         senders.pop().send(b"\r\n")  # its request has been read
-        while line.sock.peek() is None:  # loopback delivers at once
+        while connection.sock.peek() is None:  # loopback delivers at once
             pass
-        return await send_response(clients, line, *fields, **named)
+        return await send_response(clients, connection, *fields, **named)
 
     monkeypatch.setattr(ends.Clients, "send_response", send_after_byte)
 
@@ -283,15 +283,15 @@
 @pytest.mark.parametrize("sent", [1, 40, -2])
 def test_who_is_cut_off_within_a_request_is_told_to_come_again(site, monkeypatch, how, sent):
     """A close without a response counts as a loss where one client in 200 sees it; a 503 is a refusal."""
-    monkeypatch.setattr(ends, "REST_WITHIN", 0.0)
-    monkeypatch.setattr(ends, "LAST_REST_WITHIN", 0.0)
+    monkeypatch.setattr(ends, "EVICTED_REQUEST_TIMEOUT", 0.0)
+    monkeypatch.setattr(ends, "DRAINED_REQUEST_TIMEOUT", 0.0)
 
     async def scene(site):
         node = await site.start()
         stream = await site.client()
         text = handed("X-Trace-Id: a2", "Content-Length: 5", body=b"hello")
         await stream.send_all(text[:sent])
-        await site.until(lambda: any(line.raw for line in node.clients.waiting))
+        await site.until(lambda: any(connection.message_bytes for connection in node.clients.request_waits))
         end_by(node, how)
         assert await heard(stream) == 503
         await stream.send_all(text[sent:])  # read, and not submitted
@@ -349,9 +349,9 @@
             await stream.aclose()
         else:
             assert await answers_until_end(stream) == [400]
-        await site.until(lambda: node.clients.came == 1 and not node.clients.open)
+        await site.until(lambda: node.clients.accepted_count == 1 and not node.clients.open)
         assert not node.counters["handed_in"] and not node.counters["taken_on"] and not site.far.got
-        limit = node.clients.max_connections + ends.ROOM
+        limit = node.clients.max_connections + ends.EXTRA_CONNECTIONS
         assert node.clients.connection_limit.value == limit - 1  # for later clients
 
     site.run(scene)
@@ -374,10 +374,12 @@
         stream = await site.client()
         for number, text in enumerate(submissions(range(2))):
             await stream.send_all(text[:40])
-            await site.until(lambda: any(line.raw for line in node.clients.waiting))
+            await site.until(
+                lambda: any(connection.message_bytes for connection in node.clients.request_waits)
+            )
             await stream.send_all(text[40:])
             await site.until(lambda number=number: node.counters["answers_202"] > number)
-        await site.until(lambda: node.clients.waiting)
+        await site.until(lambda: node.clients.request_waits)
         if then == "end":
             await stream.send_eof()
         elif then == "drain":
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -186,7 +186,7 @@
     async def scene(site):
         node = await site.start()
         node.clients.accepting.cancel()
-        await node.clients.accepts_nobody.wait()
+        await node.clients.accept_stopped.wait()
         streams = [await site.client() for _ in range(3)]
         for stream in streams:
             await stream.send_all(b"GET /_health HTTP/1.1\r\nHost: api\r\n\r\n")
