--- a/juniperlanding/accord/part.py
+++ b/juniperlanding/accord/part.py
@@ -39,7 +39,7 @@
         self.told, self.node, self.fleet, self.log = told, node, fleet, node.log
         self.files, self.steady, self.own = node.world.files, node.world.clock.steady, node.config.settings
         self.folder = Folder(self.files, node.config.state, node.log)
-        self.tuning = Tuning(licence=told.licence, drift=told.drift)
+        self.tuning = Tuning(licence=told.lease, drift=told.drift)
         self.accord = self.decision_loop = self.written = None
         self.waiting, self.addresses, self.documents = [], {}, {}
         self.news, self.unwritten, self.decided = trio.Event(), trio.Event(), trio.Event()
@@ -49,7 +49,7 @@
 
     # ---- the owner's side
 
-    def built(self, node):
+    def on_built(self, node):
         self.decision_loop, self.documents = node.decision_loop, self.folder.read(TERMS, {})
         terms = {0: self.own["topic_types"]}
         for number, document in self.documents.items():
@@ -79,7 +79,13 @@
     def check(self, document):
         node, told = self.node, self.node.config
         return refusal(
-            document, self.own, node.decision_loop, node.ledger, told.memory, node.most_calls, told.disk
+            document,
+            self.own,
+            node.decision_loop,
+            node.ledger,
+            told.memory,
+            node.max_endpoint_connections,
+            told.disk,
         )
 
     # ---- while it serves
@@ -112,12 +118,12 @@
                     with trio.move_on_after(max(0.001, (self.until - self.steady()) / SEC)):
                         await self.news.wait()
         finally:
-            self.before, self.accord = self.given(), None
+            self.before, self.accord = self.export_state(), None
 
-    def given(self):
+    def export_state(self):
         return ([self.accord.life] if self.accord else []) + self.before[: MOST_BEFORE - 1]
 
-    def taken(self, state):
+    def import_state(self, state):
         lives = state[:MOST_BEFORE] if isinstance(state, list) else []  # threat: another version's form
         self.before = [life for life in lives if isinstance(life, int) and 0 < life < 1 << 62]
 
@@ -255,7 +261,7 @@
     def calls(self):
         return {"POLICY": self.lines}
 
-    def asks(self):
+    def commands_with_argument(self):
         return {"PROPOSE": self.propose}
 
     def propose(self, name):
@@ -291,12 +297,12 @@
             fields = error.fields if isinstance(error, NotProposed) else {}
             self.log("policy", "not proposed", file=path, why=str(error), **fields)
 
-    def enter(self, phase):
+    def phase_changed(self, phase):
         if self.accord and phase == "draining":
             self.guarded(self.accord.leave, self.steady())
             self.guarded(self.carry_out)
 
-    def unready(self):
+    def not_ready_reason(self):
         if self.decision_loop.has_lease_for(self.decision_loop.policy_number):
             return ""
         state = self.accord.state(self.steady()) if self.accord else {"unable": "", "denied": {}}
--- a/juniperlanding/cli/check.py
+++ b/juniperlanding/cli/check.py
@@ -38,7 +38,7 @@
         if path is None or args["--effective"]:
             config.read(os.environ, files, config.from_operators(parsed) if parsed else None)
     except (Trouble, KeyError, OSError, ValueError, TypeError, AttributeError) as error:
-        failure = config.trouble(error)
+        failure = config.to_operator_error(error)
     if args["--json"]:
         json_values = {
             key: {"value": effective.plain(value), "from": origin} for key, (value, origin) in values.items()
--- a/juniperlanding/cli/serve.py
+++ b/juniperlanding/cli/serve.py
@@ -37,7 +37,7 @@
     except Exception as error:
         from juniperlanding.net import config
 
-        raise config.trouble(error) from None
+        raise config.to_operator_error(error) from None
 
 
 def run(args):
@@ -71,10 +71,10 @@
     from juniperlanding.ground.errors import system
     from juniperlanding.ground.log import never_wait
     from juniperlanding.net.node import Node
-    from juniperlanding.net.succession import begin
+    from juniperlanding.net.succession import start_node
 
     try:
-        node = await begin(lambda offer: Node(config, interfaces, offer=offer), config, interfaces)
+        node = await start_node(lambda offer: Node(config, interfaces, offer=offer), config, interfaces)
     except OSError as error:
         raise system(error, config.state) from None
     never_wait()
--- a/juniperlanding/emulator/process.py
+++ b/juniperlanding/emulator/process.py
@@ -28,7 +28,7 @@
     def bind(self, address):
         return self.host.bind(address)
 
-    def harbour(self, folder):
+    def handover_listener(self, folder):
         raise OSError(errno.EOPNOTSUPP, "no Unix sockets in this world")
 
     async def connect(self, address):
--- a/juniperlanding/fleet/agent.py
+++ b/juniperlanding/fleet/agent.py
@@ -175,7 +175,7 @@
             sure=f"{view.sure():.2f}",
         )
 
-    def enter(self, phase):
+    def phase_changed(self, phase):
         """We drain, or leave: nobody is to suspect us for it."""
         self.phase = PHASES.index(phase)
         if self.view and self.sock:
--- a/juniperlanding/ground/seams.py
+++ b/juniperlanding/ground/seams.py
@@ -190,23 +190,23 @@
         """A `Listener` at (host, port); OSError when the address is in use or not of this machine."""
         return Listener(address)
 
-    def harbour(self, folder):
+    def handover_listener(self, folder):
         """A listener for a process that takes a folder over; OSError where such sockets are not supported."""
         from juniperlanding.handover import channel
 
-        return channel.Harbour(folder)
+        return channel.ChannelListener(folder)
 
-    def call(self, folder):
+    def connect_handover(self, folder):
         """A channel to the process that uses a folder; OSError when it does not answer."""
         from juniperlanding.handover import channel
 
-        return channel.call(folder)
+        return channel.connect_handover(folder)
 
-    def drop(self, files):
+    def close_descriptors(self, files):
         """Close descriptors received from another process that are not needed."""
         from juniperlanding.handover import channel
 
-        channel.drop(files)
+        channel.close_descriptors(files)
 
     def inherit(self, file, listening=False):
         """A `Socket` or `Listener` from a descriptor received from another process."""
--- a/juniperlanding/handover/channel.py
+++ b/juniperlanding/handover/channel.py
@@ -85,7 +85,7 @@
                 if not byte or not ancillary or flags & socket.MSG_CTRUNC:
                     raise OSError(errno.EMFILE, "descriptors are missing")
         except BaseException:
-            drop(descriptors)
+            close_descriptors(descriptors)
             raise
         return message, descriptors
 
@@ -106,7 +106,7 @@
         self.sock.close()
 
 
-class Harbour:
+class ChannelListener:
     """The listening end; only the process that holds the lock of the folder may create one."""
 
     def __init__(self, folder):
@@ -141,7 +141,7 @@
         self.raw.close()
 
 
-def drop(descriptors):
+def close_descriptors(descriptors):
     """Close descriptors that were received and are not used."""
     for descriptor in descriptors:
         try:
@@ -150,7 +150,7 @@
             pass  # already closed with the object that wraps it
 
 
-def call(folder):
+def connect_handover(folder):
     """A channel to the process that holds a folder; OSError when no process accepts there."""
     raw = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     try:
--- a/juniperlanding/handover/steps.py
+++ b/juniperlanding/handover/steps.py
@@ -7,13 +7,13 @@
 
 SEC = 1_000_000_000
 MAX_CALLERS = 4  # connections to the sender's channel at once
-WRITE_OUT = 0.05  # seconds that a partly written call has to be written out once a freeze begins
-FREEZE_WITHIN = SEC // 2  # time limit for requests that are being answered to be answered
-LOAD_WITHIN = 5 * SEC // 2  # time limit from the offer until the receiver has loaded it
+WRITE_OUT_TIMEOUT = 0.05  # seconds that a partly written call has to be written out once a freeze begins
+FREEZE_TIMEOUT = SEC // 2  # time limit for requests that are being answered to be answered
+LOAD_TIMEOUT = 5 * SEC // 2  # time limit from the offer until the receiver has loaded it
 # Time limit for the receiver's whole attempt.  An old process that hangs hands nothing over; the platform
 # waits 6 s for the new process to report ready and 3.7 s more before it kills the old one.  Then the folder
 # is free.
-JOIN_WITHIN = 12 * SEC
+JOIN_TIMEOUT = 12 * SEC
 
 # States of the sender.
 OWNER = "owner"
@@ -55,7 +55,7 @@
         if self.state != OWNER:
             return []
         self.state = FREEZING
-        self.deadline = now + FREEZE_WITHIN
+        self.deadline = now + FREEZE_TIMEOUT
         return [FREEZE]
 
     def frozen(self, now):
@@ -63,7 +63,7 @@
         if self.state != FREEZING:
             return []
         self.state = OFFERED
-        self.deadline = now + LOAD_WITHIN
+        self.deadline = now + LOAD_TIMEOUT
         return [OFFER]
 
     def ready(self):
@@ -88,7 +88,7 @@
 class Receiver:
     def __init__(self, now):
         self.state = ASKING
-        self.deadline = now + JOIN_WITHIN
+        self.deadline = now + JOIN_TIMEOUT
 
     @property
     def owns(self):
--- a/juniperlanding/net/config.py
+++ b/juniperlanding/net/config.py
@@ -37,7 +37,7 @@
     remedy = "Check the path that EDGE_CONFIG names, its permissions and its disk."
 
 
-def trouble(error):
+def to_operator_error(error):
     """The `Trouble` to report for a configuration that could not be read, whatever was raised."""
     if isinstance(error, Trouble):
         return error
@@ -55,11 +55,11 @@
     state: str
     seed: str
     limits: dict
-    known: dict
+    known_endpoints: dict
     settings: dict
     kinds: list
     zones: list
-    connect_within: int
+    connect_timeout: int
     report: dict
     log: dict
     # The following are set by the operators' file alone.
@@ -86,9 +86,9 @@
     """The configuration in force; `operators` is what `from_operators` returned.
 
     Raises KeyError for a required value that is not set, OSError or ValueError for a file that cannot be
-    read, and other exceptions for one with unexpected contents; `trouble` turns any of them into what is
-    reported.  The discovery address of the platform's file overrides the environment's: the environment stays
-    as it was when the process started, while the file is replaced."""
+    read, and other exceptions for one with unexpected contents; `to_operator_error` turns any of them into
+    what is reported.  The discovery address of the platform's file overrides the environment's: the
+    environment stays as it was when the process started, while the file is replaced."""
     platform, operator_settings = {}, operators or OperatorSettings()
     if "EDGE_CONFIG" in environ or not operators:
         platform = json.loads(files.read(required(environ.get("EDGE_CONFIG"), "EDGE_CONFIG"), MAX_FILE_BYTES))
@@ -123,13 +123,13 @@
         or required(operator_settings.state, "EDGE_STATE" if not operators else "state"),
         seed=str(platform.get("seed", operator_settings.seed)),
         limits=operator_settings.limits | without_nulls(platform.get("limits", {})),
-        known=platform.get("known") or operator_settings.known,
+        known_endpoints=platform.get("known") or operator_settings.known_endpoints,
         settings=settings,
         kinds=platform_settings.get("models") or operator_settings.kinds,
         zones=platform_settings.get("areas") or operator_settings.zones,
         # `or`: with a time limit of zero no connection would ever be established.
-        connect_within=(platform_settings.get("permissions") or {}).get("connect_timeout_ns")
-        or operator_settings.connect_within,
+        connect_timeout=(platform_settings.get("permissions") or {}).get("connect_timeout_ns")
+        or operator_settings.connect_timeout,
         report=report,
         log=operator_settings.log,
         trace=operator_settings.trace,
@@ -162,11 +162,11 @@
     state: str = ""
     seed: str = ""
     limits: dict = None
-    known: dict = None
+    known_endpoints: dict = None
     settings: dict = None
     kinds: list = None
     zones: list = None
-    connect_within: int = SEC
+    connect_timeout: int = SEC
     report: dict = None
     log: dict = None
     fleet: object = None
@@ -176,7 +176,7 @@
     trace: bool = False
 
     def __post_init__(self):
-        for name in ("limits", "known", "settings", "report", "log"):
+        for name in ("limits", "known_endpoints", "settings", "report", "log"):
             setattr(self, name, getattr(self, name) or {})
         self.kinds, self.zones = self.kinds or [], self.zones or []
 
@@ -220,11 +220,11 @@
         state=get("instance.state"),
         seed=get("instance.seed"),
         limits=limits,
-        known={"members": members} if members else {},
+        known_endpoints={"members": members} if members else {},
         settings=settings,
         kinds=[kind.name for kind in kinds],
         zones=list(get("zones")),
-        connect_within=int(get("connections.connect_within")),
+        connect_timeout=int(get("connections.connect_within")),
         report=dict(get("reports")),
         log={"form": get("log.form"), "lines": get("log.lines")},
         trace=bool(get("log.trace")),
@@ -269,7 +269,7 @@
     voters: dict  # name -> (host, port)
     folder: str
     file: str | None
-    licence: int  # length of a lease in nanoseconds
+    lease: int  # length of a lease in nanoseconds
     drift: float
 
 
@@ -282,7 +282,7 @@
         voters={name: protocol.address(address) for name, address in voters.items()},
         folder=get("policy.folder"),
         file=get("policy.file"),
-        licence=int(get("policy.licence")),
+        lease=int(get("policy.licence")),
         drift=get("policy.drift"),
     )
 
--- a/juniperlanding/net/discovery.py
+++ b/juniperlanding/net/discovery.py
@@ -28,14 +28,14 @@
         self.kinds = config.kinds
         self.zones = config.zones
         self.max_list_size = config.memory // LIST_MEMORY_SHARE
-        self.revision = config.known.get("revision")  # may be 0
+        self.revision = config.known_endpoints.get("revision")  # may be 0
         # The setting may be 0 where lists are pushed; the platform would then be asked without pause.
         wait = config.settings.get("must_ask_in", 20 * SEC) // MS
         self.watch_ms = min(max(wait, MIN_WATCH_MS), MAX_WATCH_MS)
         self.has_failed = False  # since the last good answer
         # How many entries could not be read, and trio's time to ask for the whole list again.
         self.unreadable_count, self.reread_at = 0, float("inf")
-        known = protocol.parse_members(config.known.get("members", []), self.kinds, self.zones)
+        known = protocol.parse_members(config.known_endpoints.get("members", []), self.kinds, self.zones)
         self.last_read = {entry[0]: (entry, address) for entry, address in known}  # by endpoint
         # wanted: set while the list is to be followed or fetched; whole: the next call asks for the whole
         # list; on: the decision module is subscribed; scope: of the call under way.
--- a/juniperlanding/net/door.py
+++ b/juniperlanding/net/door.py
@@ -17,23 +17,24 @@
 DESCRIPTORS = MAX_CALLERS + 4
 
 
-class No(Trouble):
+class Rejected(Trouble):
     """A call answered with `NAK` and this reason, which is a state of the process and not an error."""
 
 
-class NoCall(No):
+class NoCall(Rejected):
     """The line received at the admin port is not a valid call."""
 
     code, remedy = "door-call", "Send one of the calls of docs/door.md, as one line of ASCII text."
 
 
-class Door:
-    """`calls` maps a call's word to a function that returns the lines after `ACK`, or raises `No` or another
-    `Trouble`; `asks` does so for calls with an argument, and its functions take the rest of the line."""
+class AdminPort:
+    """`calls` maps a call's word to a function that returns the lines after `ACK`, or raises `Rejected` or
+    another `Trouble`; `commands_with_argument` does so for calls with an argument, and its functions take the
+    rest of the line."""
 
-    def __init__(self, listener, calls, counters, log, asks=()):
+    def __init__(self, listener, calls, counters, log, commands_with_argument=()):
         self.listener, self.calls, self.counters, self.log = listener, calls, counters, log
-        self.asks = dict(asks)
+        self.commands_with_argument = dict(commands_with_argument)
         self.open_calls = {}  # socket -> cancel scope of its call, the oldest first
 
     async def listen(self, nursery):
@@ -101,8 +102,11 @@
         except UnicodeDecodeError:
             raise NoCall("not ASCII text") from None
         word, _, argument = call.partition(" ")
-        if word in self.asks:
-            return self.asks[word](argument.strip())
+        if word in self.commands_with_argument:
+            return self.commands_with_argument[word](argument.strip())
         if call not in self.calls:
-            raise NoCall(f"unknown call, expected one of {' '.join(sorted([*self.calls, *self.asks]))}")
+            raise NoCall(
+                "unknown call, expected one of "
+                f"{' '.join(sorted([*self.calls, *self.commands_with_argument]))}"
+            )
         return self.calls[call]()
--- a/juniperlanding/net/endpoints.py
+++ b/juniperlanding/net/endpoints.py
@@ -71,7 +71,7 @@
         self.on_outcomes = on_outcomes
         self.counters = counters
         self.log = log
-        self.connect_timeout = config.connect_within / SEC
+        self.connect_timeout = config.connect_timeout / SEC
         idle_closes = config.settings.get("idle_closes", 0)
         # Less than the endpoint's own idle time-out, since a request needs time to arrive.
         self.max_idle = idle_closes - idle_closes // TRANSIT_MARGIN_DIVISOR or 1 << 62
@@ -121,7 +121,7 @@
         run."""
         self.frozen = True
         for call in set(self.in_flight.values()):
-            grace = 0 if call.written else steps.WRITE_OUT
+            grace = 0 if call.written else steps.WRITE_OUT_TIMEOUT
             call.scope.deadline = min(call.scope.deadline, trio.current_time() + grace)
 
     def settled(self):
--- a/juniperlanding/net/node.py
+++ b/juniperlanding/net/node.py
@@ -16,17 +16,18 @@
 from juniperlanding.net.ledger import Damaged
 from juniperlanding.net.notices import Notices
 from juniperlanding.net.owner import DecisionLoop
-from juniperlanding.net.succession import Offer, Succession
+from juniperlanding.net.succession import Offer, ProcessHandover
 
 # Descriptors for everything but the connections limited here: 16 are in use, the others are spare.
 RESERVED_DESCRIPTORS = 20
-LAST_WORDS = 0.1  # seconds at the end in which nothing is accepted any more and the last answers are sent
-LAST_COME = 0.03  # of these, how long connections are still accepted
-LAST_ANSWERED = 0.07  # of these, how long answers are waited for
+SHUTDOWN_S = 0.1  # seconds at the end in which nothing is accepted any more and the last answers are sent
+SHUTDOWN_ACCEPT_S = 0.03  # of these, how long connections are still accepted
+SHUTDOWN_ANSWER_S = 0.07  # of these, how long answers are waited for
 LAST_POLL_INTERVAL = 0.005  # seconds between checks for either
 REBUILD_RETRY = 0.25  # seconds until a ledger that could not be read is tried again
-REREAD = 0.25  # seconds until a configuration file that could not be read is tried again, doubled each time
-MAX_REREAD = 2.0  # the longest such pause
+# Seconds until a configuration file that could not be read is tried again, doubled each time.
+RELOAD_RETRY_S = 0.25
+MAX_RELOAD_RETRY_S = 2.0  # the longest such pause
 MAX_CLIENT_BYTES = 2 * (protocol.MAX_BODY + protocol.MAX_HEAD)  # the most that a client connection holds
 
 
@@ -56,23 +57,25 @@
     must leave it alone."""
 
     def __init__(self, configuration, world, log=None, offer=None):
-        # `before` is the channel to the process that handed over, held open while this one lives.
-        self.config, self.world, self.offer, self.before = configuration, world, offer, None
+        # `previous_process` is the channel to the process that handed over, held open while this one lives.
+        self.config, self.world, self.offer, self.previous_process = configuration, world, offer, None
         self.counters = Counters(topic.get("name") for topic in configuration.settings["topic_types"])
         self.log = log or logs.to(configuration.name, world.clock, **configuration.log)
-        self.reread_scope, self.reread_after, self.replaced = trio.CancelScope(), REREAD, False
-        self.listener = self.lock = self.door = None
+        self.reread_scope, self.reload_retry_after, self.replaced = trio.CancelScope(), RELOAD_RETRY_S, False
+        self.listener = self.lock = self.admin_port = None
         self.stops_at = 0
-        self.succession = Succession(configuration, world, self.log)
-        self.parts = parts.made(self)
+        self.process_handover = ProcessHandover(configuration, world, self.log)
+        self.parts = parts.build_parts(self)
         try:
             self.claim(offer)
             if configuration.management:
-                listener, asks = (
+                listener, commands_with_argument = (
                     world.network.bind(configuration.management),
-                    parts.merged(self.parts, "asks", {}),
+                    parts.merged(self.parts, "commands_with_argument", {}),
+                )
+                self.admin_port = door.AdminPort(
+                    listener, self.calls(), self.counters, self.log, commands_with_argument
                 )
-                self.door = door.Door(listener, self.calls(), self.counters, self.log, asks)
             self.build(offer)
         except BaseException:
             self.release()
@@ -95,12 +98,12 @@
         configuration, world, common = self.config, self.world, (self.counters, self.log)
         if offer:
             offer.resume(world.clock)
-        self.ledger = parts.books(configuration, world.files, bool(offer), world.clock)
+        self.ledger = parts.open_ledger(configuration, world.files, bool(offer), world.clock)
         self.decision_loop = decision_loop = DecisionLoop(configuration, world.clock, self.ledger, *common)
-        max_clients, self.most_calls = connection_limits(configuration)
+        max_clients, self.max_endpoint_connections = connection_limits(configuration)
         call_ended = partial(decision_loop.enqueue, decision_loop.on_outcomes)
         decision_loop.endpoints = Endpoints(
-            configuration, world, self.most_calls, call_ended, *common, decision_loop.may_leave
+            configuration, world, self.max_endpoint_connections, call_ended, *common, decision_loop.may_leave
         )
         decision_loop.notices = Notices(
             world.network,
@@ -117,20 +120,20 @@
         part_states = offer.state.get("parts", {}) if offer else {}
         for part in self.parts:
             if part.section in part_states:
-                part.taken(part_states[part.section])
-            part.built(self)
+                part.import_state(part_states[part.section])
+            part.on_built(self)
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED):
         """Serve until cancelled; stand by for as long as another process has taken over."""
         try:
             async with trio.open_nursery() as self.nursery:
-                if self.door:
-                    self.nursery.start_soon(self.door.listen, self.nursery)
+                if self.admin_port:
+                    self.nursery.start_soon(self.admin_port.listen, self.nursery)
                 while True:
                     self.offer = await self.serve(task_status)
                     task_status = trio.TASK_STATUS_IGNORED
                     self.ledger.close()
-                    if await self.succession.give(self.offer):
+                    if await self.process_handover.hand_over(self.offer):
                         self.offer = None
                         await self.stand_by()
                     else:
@@ -144,7 +147,7 @@
         configuration, decision_loop, listener = self.config, self.decision_loop, self.listener
         listener.listen()
         known = protocol.parse_members(
-            configuration.known.get("members", []), configuration.kinds, configuration.zones
+            configuration.known_endpoints.get("members", []), configuration.kinds, configuration.zones
         )
         await decision_loop.enqueue(decision_loop.start_module, known, self.offer)
         self.offer = None
@@ -154,7 +157,7 @@
             # By way of the queue: discovery must not ask before the first iteration of the decision loop has
             # given it the revision that the previous process had.
             await decision_loop.enqueue(decision_loop.discovery.subscribe, True)
-        self.succession.open(self.nursery, self.freeze)
+        self.process_handover.open(self.nursery, self.freeze)
         self.log(
             "start",
             listening="{}:{}".format(*listener.address),
@@ -192,7 +195,7 @@
         """Wait for the process that took over to end, then serve again: if it ends early, what it accepted is
         in the folder and still has to be delivered."""
         self.replaced, self.lock, self.listener = True, None, None
-        await self.succession.wait_for_successor_exit()
+        await self.process_handover.wait_for_successor_exit()
         logged = None
         while True:
             try:
@@ -232,12 +235,12 @@
 
     def check_ready(self):
         if self.replaced:
-            raise door.No("replaced")
+            raise door.Rejected("replaced")
         if not self.decision_loop.ready or self.clients.draining:
-            raise door.No("draining" if self.clients.draining else "starting")
+            raise door.Rejected("draining" if self.clients.draining else "starting")
         for part in self.parts:
-            if why := part.unready():
-                raise door.No(why)
+            if why := part.not_ready_reason():
+                raise door.Rejected(why)
         return []
 
     def figures(self):
@@ -248,16 +251,21 @@
 
     def release(self):
         """Release address and folder for other processes."""
-        for held in (self.listener, self.lock, self.door and self.door.listener, self.succession.listener):
+        for held in (
+            self.listener,
+            self.lock,
+            self.admin_port and self.admin_port.listener,
+            self.process_handover.listener,
+        ):
             if held:
                 held.close()
 
-    def let_go(self):
+    def close_offered(self):
         """Close what was made from the offer: ownership stays with the previous process."""
         self.offer.close()
         self.ledger.close()
-        if self.door:
-            self.door.listener.close()
+        if self.admin_port:
+            self.admin_port.listener.close()
 
     def reload(self, read, logged=None):
         """Move to the discovery address in the replaced file; other changes in it wait for a restart.
@@ -272,30 +280,32 @@
             self.reread_scope = trio.CancelScope()
             if logged != (why := described(error)):
                 then = "tried again soon" if isinstance(error, OSError) else "the old one stays in force"
-                self.log("config", f"cannot be read, {then}", why=why, **config.trouble(error).fields)
+                self.log(
+                    "config", f"cannot be read, {then}", why=why, **config.to_operator_error(error).fields
+                )
             return self.nursery.start_soon(self.reread, read, why, self.reread_scope)
         self.log("config", "read again", discovery="{}:{}".format(*discovery))
         if discovery != self.config.discovery:
             self.config.discovery = discovery
             self.decision_loop.discovery.move(discovery)
             self.decision_loop.notices.move(discovery)
-        self.reread_after = REREAD
+        self.reload_retry_after = RELOAD_RETRY_S
         for part in self.parts:
             part.reload()
 
     async def reread(self, read, logged, scope):
         """Retry a failed reload, with growing pauses."""
         with scope:
-            await trio.sleep(self.reread_after)
-            self.reread_after = min(2 * self.reread_after, MAX_REREAD)
+            await trio.sleep(self.reload_retry_after)
+            self.reload_retry_after = min(2 * self.reload_retry_after, MAX_RELOAD_RETRY_S)
         if not scope.cancelled_caught:
             self.reload(read, logged)
 
-    def enter(self, phase):
+    def phase_changed(self, phase):
         """Tell the parts of a new phase, unless this process was replaced: its parts report nothing any
         more."""
         for part in [] if self.replaced else self.parts:
-            part.enter(phase)
+            part.phase_changed(phase)
 
     async def drain(self):
         """Keep serving for as long as the platform allows; what is still pending at the end stays in the
@@ -304,10 +314,10 @@
         Clients are sent away once no more time is left than a client waits for its answer, so that each still
         gets it.  Ends early when no client is connected and nothing is pending."""
         began = trio.current_time()
-        self.enter("draining")
+        self.phase_changed("draining")
         self.log("stop", "draining", held=len(self.decision_loop.unfinished))
         time_limit = protocol.SIGKILL_DELAY - protocol.CLIENT_RESPONSE_TIMEOUT / 4
-        with trio.move_on_after(time_limit - LAST_WORDS):
+        with trio.move_on_after(time_limit - SHUTDOWN_S):
             if not self.replaced:
                 self.stops_at = self.world.clock.now() + int(time_limit * SEC)
                 await self.decision_loop.enqueue(self.decision_loop.dispatcher.plan_stop, self.stops_at)
@@ -320,16 +330,16 @@
                     self.clients.drain()
                 await trio.sleep(0.02)
         self.clients.refuse()
-        with trio.move_on_after(LAST_WORDS):
-            await self.last_words()
+        with trio.move_on_after(SHUTDOWN_S):
+            await self.finish_clients()
 
-    async def last_words(self):
+    async def finish_clients(self):
         """Send the last answers, then run the last iteration of the decision loop.
 
         That iteration writes down the outcomes that have just been reported.  The wait for the answers is
         limited: a client that sends nothing, or reads nothing, would otherwise be waited for until the
         process is killed."""
-        with trio.move_on_after(LAST_ANSWERED):
+        with trio.move_on_after(SHUTDOWN_ANSWER_S):
             await self.send_last_answers()
         if self.replaced or self.decision_loop.frozen:
             return
@@ -344,7 +354,7 @@
         A connection left in the backlog would be reset with its request, but connections may come without
         end: so accepting has a time limit.  A client whose notification is in the ledger must get its answer
         before its connection ends."""
-        accepted, closes_at = -1, trio.current_time() + LAST_COME
+        accepted, closes_at = -1, trio.current_time() + SHUTDOWN_ACCEPT_S
         while accepted != self.clients.accepted_count and trio.current_time() < closes_at:
             accepted = self.clients.accepted_count
             await trio.sleep(LAST_POLL_INTERVAL)
@@ -357,7 +367,7 @@
 
     def close(self):
         """End; whether every ledger record could be written."""
-        self.enter("leaving")
+        self.phase_changed("leaving")
         if not self.replaced and not self.decision_loop.frozen:
             self.clients.count_unanswered()
             self.decision_loop.process_remaining_events()
--- a/juniperlanding/net/owner.py
+++ b/juniperlanding/net/owner.py
@@ -161,12 +161,12 @@
         either case."""
         self.clients.inherit(self.nursery, offer.clients())
         try:
-            offer.fits(self.config.settings)
+            offer.check_fits(self.config.settings)
             carry.import_state(self.dispatcher.state, offer.state["module"], self.topic_types_by_policy)
         except carry.UnreadableState as error:
             # The state is of another version. As after a kill, calls that were in flight may have run.
             self.log_line("upgrade", "the module begins from the ledger", why=str(error))
-            offer.drop_calls()
+            offer.close_endpoint_connections()
             return False
         for *entry, host, port in offer.state["entries"]:
             self.entries[entry[0]], self.endpoints.addresses[entry[0]] = tuple(entry), (host, port)
--- a/juniperlanding/net/parts.py
+++ b/juniperlanding/net/parts.py
@@ -3,7 +3,7 @@
 from juniperlanding.net.ledger import Ledger, check_not_split
 
 
-def made(node):
+def build_parts(node):
     """The parts that the operators' file turns on; a part that is off is not even imported."""
     config, parts = node.config, []
     if config.fleet:
@@ -27,7 +27,7 @@
     return parts
 
 
-def books(config, files, inherited, clock):
+def open_ledger(config, files, inherited, clock):
     """The ledger of the state folder: one file, or shards.  Raises `Split` for a ledger that is split into
     shards although these are turned off."""
     if config.shards:
--- a/juniperlanding/net/succession.py
+++ b/juniperlanding/net/succession.py
@@ -137,7 +137,9 @@
             ],
             "idle": [[endpoint, connection.used_at] for endpoint, connection in idle],
         }
-        if parts := {part.section: given for part in node.parts if (given := part.given()) is not None}:
+        if parts := {
+            part.section: exported for part in node.parts if (exported := part.export_state()) is not None
+        }:
             state["parts"] = parts
         connections = [
             *clients,
@@ -164,7 +166,7 @@
                 [world.network.inherit(descriptor) for descriptor in sockets],
             )
         except (ValueError, TypeError, KeyError, OSError) as error:
-            world.network.drop(descriptors)
+            world.network.close_descriptors(descriptors)
             raise OtherForm(
                 0, f"the running process hands over in another format ({described(error)})", None
             ) from None
@@ -177,7 +179,7 @@
     def descriptors(self):
         return [self.lock.file, self.listener.raw.fileno(), *(sock.raw.fileno() for sock in self.sockets)]
 
-    def fits(self, settings):
+    def check_fits(self, settings):
         """Raises `carry.UnreadableState` unless the decision module's records have this version's layout
         and were made under the same settings."""
         if self.state["version"] != carry.VERSION:
@@ -221,7 +223,7 @@
             connection.used_at = used_at
             yield endpoint, connection
 
-    def drop_calls(self):
+    def close_endpoint_connections(self):
         for sock in self.groups[1] + self.groups[2]:
             sock.close()
 
@@ -239,7 +241,7 @@
     return b64encode(b"".join([*connection.message_bytes, connection.early])).decode()
 
 
-class Succession:
+class ProcessHandover:
     """The owning process's side of a hand-over."""
 
     def __init__(self, config, world, log):
@@ -253,7 +255,7 @@
         if self.listener:
             return
         try:
-            self.listener = self.world.network.harbour(self.config.state)
+            self.listener = self.world.network.handover_listener(self.config.state)
         except OSError as error:
             return self.log("upgrade", "nobody can take over here", why=described(error))
         nursery.start_soon(self.listen, nursery, freeze)
@@ -289,7 +291,7 @@
                     if self.channel is not channel:
                         await channel.send(frames.REFUSED, why=why)
             if self.channel is channel:
-                await freeze(steps.FREEZE_WITHIN / SEC)
+                await freeze(steps.FREEZE_TIMEOUT / SEC)
         except (frames.Noise, OSError) as error:  # the caller closed, or is not a dispatcher
             self.log("upgrade", "cannot read from a caller", why=described(error))
         finally:
@@ -297,7 +299,7 @@
             if self.channel is not channel:
                 channel.close()
 
-    async def give(self, offer):
+    async def hand_over(self, offer):
         """Whether the new process owns everything now; otherwise this one continues with the offer itself."""
         self.sender.frozen(self.world.clock.steady())
         try:
@@ -348,7 +350,7 @@
             self.listener = None
 
 
-async def begin(make, config, world):
+async def start_node(make, config, world):
     """The node of a process that owns its folder: at once, or taken over from the process that holds it.
 
     `make(offer)` builds the node.  Raises OSError when that process refuses or does not answer in time."""
@@ -381,7 +383,7 @@
             world.network.bind(config.management).close()
     except OSError as error:
         raise system(error) from None
-    channel, node = world.network.call(config.state), None
+    channel, node = world.network.connect_handover(config.state), None
     try:
         with trio.move_on_after((receiver.deadline - world.clock.steady()) / SEC):
             await channel.send(frames.HELLO, listen="{}:{}".format(*config.listen))
@@ -396,13 +398,13 @@
                 if received and received[0]["say"] == frames.YOURS and receiver.yours():
                     node.lock.name()
                     # The channel stays open: the old process takes its end as the end of this process.
-                    node.before, channel = channel, None
+                    node.previous_process, channel = channel, None
                     return node
     finally:
         if channel:
             channel.close()
         if node and not receiver.owns:
-            node.let_go()
+            node.close_offered()
     return None
 
 
--- a/juniperlanding/shards/part.py
+++ b/juniperlanding/shards/part.py
@@ -68,7 +68,7 @@
 
     # ---- each second
 
-    def built(self, node):
+    def on_built(self, node):
         self.ledger, self.under_way = node.ledger, None
         self.growth, self.ended = {shard: Growth() for shard in self.ledger.shards}, {}
 
--- a/juniperlanding/sites/part.py
+++ b/juniperlanding/sites/part.py
@@ -66,10 +66,10 @@
 
     # ---- the part
 
-    def built(self, node):
+    def on_built(self, node):
         node.decision_loop.observer = self
 
-    def given(self):
+    def export_state(self):
         """What earlier projections missed, so that a replacement forgets nothing."""
         return {
             name: {
@@ -79,7 +79,7 @@
             for name in LEARNT
         }
 
-    def taken(self, state):
+    def import_state(self, state):
         try:
             found = {
                 name: {tuple(key.split("/", 1)): Series(*fields) for key, fields in state[name].items()}
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -405,7 +405,7 @@
         assert await site.submit("a", topic, ttl=9000) == 202
         await site.until(lambda: site.world.network.began)
         if how == "stopped":
-            await node.last_words()
+            await node.finish_clients()
             site.world.network.go.set()
             assert node.close()
         site.scope.cancel()
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -16,7 +16,7 @@
 
 async def call(site, line=b"STATS\n"):
     """The lines that the admin port answers to one call."""
-    stream = await trio.open_tcp_stream(*site.node.door.listener.address)
+    stream = await trio.open_tcp_stream(*site.node.admin_port.listener.address)
     async with stream:
         await stream.send_all(line)
         if not line.endswith(b"\n"):
@@ -54,7 +54,7 @@
         await site.until(lambda: node.decision_loop.ready)
         lines = await call(site, line)
         assert len(lines) == 1 and lines[0].startswith(answer)
-        await site.until(lambda: not node.door.open_calls)
+        await site.until(lambda: not node.admin_port.open_calls)
 
     site.run(scene)
 
@@ -75,14 +75,14 @@
 def test_callers_who_stall_keep_nobody_out(site):
     async def scene(site):
         await site.start()
-        address = site.node.door.listener.address
+        address = site.node.admin_port.listener.address
         stalled = [await trio.open_tcp_stream(*address) for _ in range(3 * door.MAX_CALLERS)]
         for stream in stalled:
             await stream.send_all(b"STA")
         with trio.fail_after(1):
             assert (await statistics(site))["outstanding"] == (0, "g")
             assert await stalled[0].receive_some() == b""
-        assert len(site.node.door.open_calls) <= door.MAX_CALLERS
+        assert len(site.node.admin_port.open_calls) <= door.MAX_CALLERS
 
     site.run(scene)
 
@@ -92,10 +92,10 @@
 
     async def scene(site):
         node = await site.start()
-        stream = await trio.open_tcp_stream(*node.door.listener.address)
+        stream = await trio.open_tcp_stream(*node.admin_port.listener.address)
         with trio.fail_after(1):
             assert await stream.receive_some() == b""
-        assert node.counters["door_unfinished"] == 1 and not node.door.open_calls
+        assert node.counters["door_unfinished"] == 1 and not node.admin_port.open_calls
 
     site.run(scene)
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -390,7 +390,7 @@
 
 
 def test_a_door_that_says_nothing_is_a_breach(monkeypatch):
-    monkeypatch.setattr(door.Door, "answer", lambda self, line: ["--"][:0])
+    monkeypatch.setattr(door.AdminPort, "answer", lambda self, line: ["--"][:0])
     result = play(length=Duration(2 * SEC), fleet=scenario.Fleet(count=1, door=True))
     assert result.breach.rule == "door"
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -15,7 +15,7 @@
 from juniperlanding.choice import SEC
 from juniperlanding.ground.lock import Lock
 from juniperlanding.ground.seams import Network
-from juniperlanding.handover.channel import Harbour
+from juniperlanding.handover.channel import ChannelListener
 from juniperlanding.net import line, protocol, succession
 from juniperlanding.standins.peers import Platform, http, read_message
 
@@ -146,7 +146,7 @@
         new.decision_loop.receive_events = receive_late
         return new
 
-    return await start(site, await succession.begin(make, config, site.world))
+    return await start(site, await succession.start_node(make, config, site.world))
 
 
 def test_what_an_earlier_process_read_of_a_request_outlives_a_freeze_before_it_is_looked_at(site):
@@ -158,7 +158,7 @@
 
         def make(offer=None):
             new = node(site, config, offer)
-            begin, give = new.decision_loop.start_module, new.succession.give
+            begin, give = new.decision_loop.start_module, new.process_handover.hand_over
 
             def begin_and_freeze(*fields):
                 begin(*fields)
@@ -166,16 +166,16 @@
                 new.decision_loop.freeze(0.5)
 
             async def give_to_nobody(offer):
-                new.succession.give = give
+                new.process_handover.hand_over = give
                 return False
 
-            new.decision_loop.start_module, new.succession.give = begin_and_freeze, give_to_nobody
+            new.decision_loop.start_module, new.process_handover.hand_over = begin_and_freeze, give_to_nobody
             return new
 
         await site.until(
             lambda: any(connection.message_bytes for connection in site.node.clients.request_waits)
         )
-        new = await succession.begin(make, config, site.world)
+        new = await succession.start_node(make, config, site.world)
         site.nursery.start_soon(new.run)
         await site.until(lambda: new.clients.request_waits and not new.decision_loop.frozen)
         assert (await site.ask(REQUEST[60:], stream))[0] == 202
@@ -281,13 +281,13 @@
         (site.folder / "state").mkdir()
         state, old_platform = str(site.folder / "state"), site.platform
         # As if another process had the folder: the start waits for it, after it has read the file.
-        lock, harbour = Lock(state), Harbour(state)
+        lock, listener = Lock(state), ChannelListener(state)
         async with starting(site) as process:
-            channel = await harbour.accept()
+            channel = await listener.accept()
             site.platform = await Platform().open(site.nursery)
             site.config()
             process.send_signal(signal.SIGHUP)
-            for resource in (channel, harbour, lock):
+            for resource in (channel, listener, lock):
                 resource.close()
             await site.until(lambda: list_requests(site.platform))
             assert len(list_requests(old_platform)) <= 1
--- a/tests/test_endings_drain.py
+++ b/tests/test_endings_drain.py
@@ -173,7 +173,7 @@
 def shorten_drain(monkeypatch):
     """The last phase of the drain begins after 0.3 s, and may last five seconds, which no test needs."""
     monkeypatch.setattr(protocol, "SIGKILL_DELAY", 5.4)
-    monkeypatch.setattr("juniperlanding.net.node.LAST_WORDS", 5.0, raising=False)
+    monkeypatch.setattr("juniperlanding.net.node.SHUTDOWN_S", 5.0, raising=False)
 
 
 async def stop(site):
@@ -248,7 +248,7 @@
 def test_who_comes_after_the_last_look_at_the_backlog_is_answered(site, monkeypatch):
     """Its connection arrives when the accepting task has ended and the listener is still open."""
     shorten_drain(monkeypatch)
-    monkeypatch.setattr("juniperlanding.net.node.LAST_ANSWERED", 4.0)
+    monkeypatch.setattr("juniperlanding.net.node.SHUTDOWN_ANSWER_S", 4.0)
     streams = []
 
     async def scene(site):
@@ -276,7 +276,7 @@
 
 def test_the_process_ends_well_as_a_place_is_got_just_as_nobody_is_accepted_any_more(site, monkeypatch):
     shorten_drain(monkeypatch)
-    monkeypatch.setattr("juniperlanding.net.node.LAST_ANSWERED", 4.0)
+    monkeypatch.setattr("juniperlanding.net.node.SHUTDOWN_ANSWER_S", 4.0)
 
     async def scene(site):
         node = await site.start()
@@ -316,8 +316,8 @@
     shorten_drain(monkeypatch)
     site.violations = how == "read nothing"  # its answer is never even written to the socket
     # Less than the 2.5 s for which such clients would be waited for.
-    monkeypatch.setattr("juniperlanding.net.node.LAST_WORDS", 2.2)
-    monkeypatch.setattr("juniperlanding.net.node.LAST_ANSWERED", 1.0, raising=False)
+    monkeypatch.setattr("juniperlanding.net.node.SHUTDOWN_S", 2.2)
+    monkeypatch.setattr("juniperlanding.net.node.SHUTDOWN_ANSWER_S", 1.0, raising=False)
     monkeypatch.setattr(clients_module, "DRAINED_REQUEST_TIMEOUT", 60.0)
     sockets, accepted, withdrawn, send, accept = [], [], [], HttpConnection.send, Listener.accept
     request = b"" if how == "say nothing" else handed("X-Trace-Id: a1")
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -26,7 +26,7 @@
 PENDING = line(["t", "a1", "news", 7, 1 << 62, "", ""])
 # The time limit for a process that does not hand over is shortened from 12 s.
 PROGRAM = (
-    "import sys; from juniperlanding.handover import steps; steps.JOIN_WITHIN = 10**8;"
+    "import sys; from juniperlanding.handover import steps; steps.JOIN_TIMEOUT = 10**8;"
     "from juniperlanding.cli import main; sys.exit(main(['serve', *sys.argv[1:]]))"
 )
 FLEET_FILE = '[instance]\nname = "a"\n[fleet]\nenabled = true\naddress = "127.0.0.1:1"\nkey = "key"\n'
@@ -220,7 +220,7 @@
 
     async def scene(site):
         node = await site.start()
-        for listener in (node.listener, node.door.listener):
+        for listener in (node.listener, node.admin_port.listener):
             attempts = []
             accept = listener.accept
 
@@ -250,14 +250,14 @@
 
     async def scene(site):
         node = await site.start()
-        node.door.calls["CUT"] = cut
+        node.admin_port.calls["CUT"] = cut
         node.clients.draining = True
         for command, answer in (
             (b"CUT", 'NAK 2 of 5 answer code=cut-off remedy="Look at the links."'),
             (b"READY", "NAK draining"),
             (b"", 'NAK empty line code=door-call remedy="Send one of'),
         ):
-            stream = await trio.open_tcp_stream(*node.door.listener.address)
+            stream = await trio.open_tcp_stream(*node.admin_port.listener.address)
             await stream.send_all(command + b"\n")
             assert (await stream.receive_some()).decode().startswith(answer)
 
--- a/tests/test_ground.py
+++ b/tests/test_ground.py
@@ -230,7 +230,10 @@
         ("127.0.0.1", 2),
         str(tmp_path / "state"),
     )
-    assert read.settings["topic_types"][0]["name"] == "news" and read.known["members"][0]["id"] == "e-1"
+    assert (
+        read.settings["topic_types"][0]["name"] == "news"
+        and read.known_endpoints["members"][0]["id"] == "e-1"
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1396,11 +1396,11 @@
 
 
 def test_a_reload_that_the_disk_fails_or_of_a_wrong_file_is_tried_again(site, monkeypatch):
-    monkeypatch.setattr("juniperlanding.net.node.REREAD", 0.01)
+    monkeypatch.setattr("juniperlanding.net.node.RELOAD_RETRY_S", 0.01)
 
     async def scene(site):
         node = await site.start()
-        node.reread_after = 0.01
+        node.reload_retry_after = 0.01
         tries = []
 
         def read():
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -243,5 +243,5 @@
     assert (config.disk, config.memory, config.sockets) == (64_000_000, 512_000_000, 1024)
     site.told = {"limits": None, "settings": None, "known": None}
     config = site.config()
-    assert config.connect_within == SEC and config.settings == {"topic_types": []}
+    assert config.connect_timeout == SEC and config.settings == {"topic_types": []}
     assert read(site.environ, site.world.files).name == "n0"
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -84,7 +84,7 @@
         return name
 
     async def ready(self):
-        await self.until(lambda: self.node.decision_loop.ready and not self.policy.unready())
+        await self.until(lambda: self.node.decision_loop.ready and not self.policy.not_ready_reason())
 
     async def in_force(self, number):
         await self.until(lambda: self.node.decision_loop.policy_number == number == self.policy.holds())
@@ -154,7 +154,7 @@
         # Another process takes over: it asks first, and has the module's records with their terms.
         told, life = a.config(), a.policy.accord.life
         old, made = a.node, partial(lambda offer: Node(told, a.world, log=a.log, offer=offer))
-        a.node = await succession.begin(made, told, a.world)
+        a.node = await succession.start_node(made, told, a.world)
         assert a.node.parts[1].holds() is None and a.node.parts[1].before[:1] == [life]
         scope = trio.CancelScope()
 
@@ -180,7 +180,7 @@
         assert lives == {0, *a.node.parts[1].before}  # nobody waits for the licence of one that handed over
         # It ends early, and the first one serves again: a life of its own, and no licence but a new one.
         scope.cancel()
-        a.node.before.close()
+        a.node.previous_process.close()
         a.node = old
         await a.in_force(3)
         assert not old.replaced and objectives(old) == [2000, 700, 900]
@@ -284,7 +284,7 @@
         assert await a.offered("a1") == (503, None)
         assert 0 < float(a.headers["retry-after"]) < 1
         assert (await a.ask(b"GET /_health HTTP/1.1\r\nHost: api\r\n\r\n"))[0] == 503
-        assert a.policy.unready().startswith("no licence")
+        assert a.policy.not_ready_reason().startswith("no licence")
         assert not a.node.ledger.notifications and a.node.counters["unlicensed"] == 1
         with pytest.raises(Trouble, match="no licence"):
             a.policy.propose(a.write(PLAIN))
@@ -292,7 +292,7 @@
         await a.ready()
         assert await a.offered("a1") == (202, "0")
         b.kill()
-        await a.until(lambda: a.policy.unready())
+        await a.until(lambda: a.policy.not_ready_reason())
         assert await a.offered("a2") == (503, None) and "a1" in a.node.ledger.notifications
 
     three(scene, started=1)
@@ -388,7 +388,7 @@
         await a.in_force(1)
         await b.until(lambda: any("cannot be put in force yet" in text for _, text in b.lines))
         await b.until(lambda: b.policy.holds() == 1)
-        assert await b.offered("b1") == (503, None) and b.policy.unready()
+        assert await b.offered("b1") == (503, None) and b.policy.not_ready_reason()
         b.files.full = ""
         await b.in_force(1)
         assert await b.offered("b1") == (202, "1")
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -366,7 +366,7 @@
         await site.until(lambda: site.world.network.began == 2)
         assert old.counters["pushes_moot"] == 1 and list(new.decision_loop.endpoints.in_flight) == [("a", 1)]
         assert not owed(site)["a"].pushes
-        new.before.close()
+        new.previous_process.close()
         new.scope.cancel()
         await trio.testing.wait_all_tasks_blocked()
         old.scope.cancel()
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -426,14 +426,14 @@
     [None, [], {"errors": {}}, {"errors": {"a/b": [1] * 20}, "windows": {}}, {"errors": [1], "windows": {}}],
 )
 def test_what_another_version_hands_over_fails_no_replacement(part, state):
-    part.taken(state)
+    part.import_state(state)
     assert part.outages.errors == part.outages.windows == {} and part.lines_of[0][0] == "sites"
 
 
 def test_what_was_learnt_is_handed_over_whole(part):
     told.add_sample(part.outages.errors.setdefault(("refused", "news"), Series()), 5)
-    state, part.outages = json.loads(json.dumps(part.given())), Outages()
-    part.taken(state)
+    state, part.outages = json.loads(json.dumps(part.export_state())), Outages()
+    part.import_state(state)
     series = part.outages.errors["refused", "news"]
     assert (series.samples, series.recent) == (1, [5]) and not part.lines_of
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -44,7 +44,7 @@
     """Start a second process, which takes over from the running one."""
     config = site.config()
     make = partial(node, site, config)
-    return await start(site, await succession.begin(make, config, site.world))
+    return await start(site, await succession.start_node(make, config, site.world))
 
 
 def node(site, config, offer=None):
@@ -57,14 +57,14 @@
 
 async def hello(site, **more):
     """A channel on which a hand-over has been asked for; the test plays the new process."""
-    end = channel.call(str(site.folder / "state"))
+    end = channel.connect_handover(str(site.folder / "state"))
     await end.send(frames.HELLO, **({"listen": "127.0.0.1:0"} | more))
     return end
 
 
 def kill_new_process(site):
     """Close every socket and the lock without finishing anything, as the death of the process would."""
-    before = site.node.before
+    before = site.node.previous_process
     site.node.scope.cancel()
     if before:
         before.close()
@@ -168,7 +168,7 @@
 
 @pytest.mark.parametrize("failure", ["dies", "noise", "stalls", "refuses the offer"])
 def test_the_old_process_serves_on_when_nobody_takes_over(site, monkeypatch, failure):
-    monkeypatch.setattr(steps, "LOAD_WITHIN", SEC // 5)
+    monkeypatch.setattr(steps, "LOAD_TIMEOUT", SEC // 5)
 
     async def scene(site):
         old, stream = await first(site), await site.client()
@@ -252,7 +252,7 @@
     async def scene(site):
         old = await first(site)
         for text, descriptors in ((b" " * 5000, 0), (b"", 3)):
-            end = channel.call(str(site.folder / "state"))
+            end = channel.connect_handover(str(site.folder / "state"))
             message = frames.pack(frames.HELLO, descriptors, listen="127.0.0.1:0", more=text.decode())
             await end.sock.send(message)
             with pytest.raises(OSError):  # the old process closes the channel without accepting them
@@ -260,7 +260,7 @@
                     await trio.sleep(0.01)
                     await end.sock.send(b"f")
             end.close()
-        await site.until(lambda: not old.succession.callers)
+        await site.until(lambda: not old.process_handover.callers)
         assert not old.decision_loop.frozen and await site.submit("a1") == 202
 
     site.run(scene)
@@ -270,10 +270,10 @@
     async def scene(site):
         old = await first(site)
         path = str(site.folder / "state")
-        silent = [channel.call(path) for _ in range(steps.MAX_CALLERS)]
-        await site.until(lambda: old.succession.callers == steps.MAX_CALLERS)
+        silent = [channel.connect_handover(path) for _ in range(steps.MAX_CALLERS)]
+        await site.until(lambda: old.process_handover.callers == steps.MAX_CALLERS)
         with trio.fail_after(0.5):
-            assert await channel.call(path).sock.recv(1) == b""
+            assert await channel.connect_handover(path).sock.recv(1) == b""
         with trio.fail_after(2 * succession.HELLO_TIMEOUT):
             assert [await end.sock.recv(1) for end in silent] == [b""] * steps.MAX_CALLERS
         await replace(site)
@@ -314,7 +314,7 @@
             )
         before = len(os.listdir("/proc/self/fd"))
         with pytest.raises(DiskFailing if fails == "to load" else succession.OtherForm):
-            await succession.begin(make, site.config(), site.world)
+            await succession.start_node(make, site.config(), site.world)
         await site.until(
             lambda: any("serving on" in text for _, text in site.lines) and old.decision_loop.ready
         )
@@ -381,7 +381,7 @@
 
 
 def test_sigterm_while_a_hand_over_comes_to_nothing_still_stops_and_sighup_is_heard(site, monkeypatch):
-    monkeypatch.setattr(steps, "LOAD_WITHIN", SEC // 5)
+    monkeypatch.setattr(steps, "LOAD_TIMEOUT", SEC // 5)
 
     async def scene(site):
         old = await first(site)
@@ -389,7 +389,7 @@
         _, descriptors = await end.receive(allow_offer=True)
         site.nursery.start_soon(old.drain)
         await site.until(lambda: old.stops_at)
-        channel.drop(descriptors)
+        channel.close_descriptors(descriptors)
         end.close()
         await site.until(lambda: any("serving on" in text for _, text in site.lines))
         await site.until(lambda: old.decision_loop.ready and old.decision_loop.dispatcher.state.stops_at)
@@ -539,8 +539,8 @@
     assert sender.owns and not receiver.owns
     loading = steps.Receiver(0)
     assert loading.offered() and loading.lost(1) == [steps.RELEASE, steps.WAIT] and not loading.offered()
-    assert loading.lost(steps.JOIN_WITHIN) == [steps.END]
-    assert receiver.lost(steps.JOIN_WITHIN - 1) == [steps.ASK] and receiver.lost(steps.JOIN_WITHIN) == [
+    assert loading.lost(steps.JOIN_TIMEOUT) == [steps.END]
+    assert receiver.lost(steps.JOIN_TIMEOUT - 1) == [steps.ASK] and receiver.lost(steps.JOIN_TIMEOUT) == [
         steps.END
     ]
 
