--- a/juniperlanding/accord/document.py
+++ b/juniperlanding/accord/document.py
@@ -11,7 +11,7 @@
 
 from juniperlanding.accord.words import MOST_DOCUMENT
 from juniperlanding.ground import file, sections
-from juniperlanding.ground.errors import Trouble
+from juniperlanding.ground.errors import OperatorError
 from juniperlanding.ground.sections import Clients, Count, Figure, Name, Section, Share, Size, told
 
 MOST_ROSTER = 4096
@@ -19,7 +19,7 @@
 HELD_BYTES = 1500  # measured: what one held notification takes of the memory, its body not counted
 
 
-class Unfit(Trouble, ValueError):
+class Unfit(OperatorError, ValueError):
     """A policy document that cannot be read, or has figures that none may have."""
 
     code, remedy = "policy-unfit", "Mend the file where the lines say so, and propose it again."
@@ -91,10 +91,10 @@
 def names():
     """key path -> the decision module's name for it."""
     found = {}
-    for key, (kind, _, meta) in file.fields(Document).items():
+    for key, (kind, _, meta) in file.keys_of(Document).items():
         inner = {"": (kind, None, meta)}
         if file.section_of(kind):
-            inner = {f".{name}": entry for name, entry in file.fields(kind).items()}
+            inner = {f".{name}": entry for name, entry in file.keys_of(kind).items()}
         found |= {
             key + name: entry[2].extra["setting"]
             for name, entry in inner.items()
@@ -117,27 +117,27 @@
         together(reader, name)
     if reader.errors:
         raise Unfit("; ".join(reader.errors))
-    values = {key: value for key, (value, _) in reader.told.values.items()}
-    return Policy(values, [file.topic(entry) for entry, _ in reader.told.tables["topic"]])
+    values = {key: value for key, (value, _) in reader.result.values.items()}
+    return Policy(values, [file.topic_settings(entry) for entry, _ in reader.result.tables["topic"]])
 
 
 def together(reader, name):
     """Faults that show only where keys are seen together."""
-    values, entries = reader.told.values, reader.told.tables["topic"]
+    values, entries = reader.result.values, reader.result.tables["topic"]
     found = [entry.name for entry, _ in entries]
     for twice in sorted({one for one in found if found.count(one) > 1}) if len(found) < 1000 else ():
-        reader.fault(name, "topic", f'"{twice}" twice', "each name once")
+        reader.report_error(name, "topic", f'"{twice}" twice', "each name once")
     if not found and not reader.errors:
-        reader.fault(name, "topic", "nothing", "every topic type")
-    file.topics(reader)
+        reader.report_error(name, "topic", "nothing", "every topic type")
+    file.check_topics(reader)
     for key in values.get("sites.crossing", ({}, None))[0]:
         if len([part for part in key.split(">") if part]) != 2:
-            reader.fault(name, "sites.crossing", file.shown(key), 'a key of the form "FROM>TO"')
+            reader.report_error(name, "sites.crossing", file.printable(key), 'a key of the form "FROM>TO"')
     most, least = (values.get(f"shards.{key}", (None, None))[0] for key in ("most", "least"))
     if most is not None and most < 64 << 10:
-        reader.fault(name, "shards.most", most, "at least 64KiB")
+        reader.report_error(name, "shards.most", most, "at least 64KiB")
     if least is not None and least * 2 > (most or 0):
-        reader.fault(name, "shards.least", least, "no more than half of `shards.most`")
+        reader.report_error(name, "shards.least", least, "no more than half of `shards.most`")
 
 
 def refusal(data, own, decision_loop, ledger, memory, sockets, disk):
--- a/juniperlanding/accord/part.py
+++ b/juniperlanding/accord/part.py
@@ -12,8 +12,8 @@
 from juniperlanding.accord.document import Unfit, read, refusal
 from juniperlanding.accord.folder import KEPT, TERMS, Folder
 from juniperlanding.accord.words import Kept, digest_of
-from juniperlanding.ground.errors import Trouble
-from juniperlanding.ground.log import described, where
+from juniperlanding.ground.errors import OperatorError
+from juniperlanding.ground.log import error_location, safe_description
 from juniperlanding.ground.part import Part
 
 SEC = 1_000_000_000
@@ -26,7 +26,7 @@
 TIMES = ("rest", "since", "after")  # figures of log lines that are nanoseconds
 
 
-class NotProposed(Trouble):
+class NotProposed(OperatorError):
     """A policy was not put to the others."""
 
     code, remedy = "policy-not-proposed", "Do what the reason asks; POLICY tells what is under way."
@@ -37,7 +37,7 @@
 
     def __init__(self, told, node, fleet):
         self.told, self.node, self.fleet, self.log = told, node, fleet, node.log
-        self.files, self.steady, self.own = node.world.files, node.world.clock.steady, node.config.settings
+        self.files, self.steady, self.own = node.system.files, node.system.clock.steady, node.config.settings
         self.folder = Folder(self.files, node.config.state, node.log)
         self.tuning = Tuning(licence=told.lease, drift=told.drift)
         self.accord = self.decision_loop = self.written = None
@@ -56,7 +56,7 @@
             try:
                 terms[number] = self.settings(document)["topic_types"]
             except Unfit as error:  # threat: an older program cannot read what a newer one took on under
-                self.log("policy", "terms cannot be read", number=number, why=str(error), **error.fields)
+                self.log("policy", "terms cannot be read", number=number, why=str(error), **error.log_fields)
         self.decision_loop.require_lease(self, terms)
 
     def settings(self, document):
@@ -144,7 +144,7 @@
             try:
                 return self.folder.read(KEPT, Kept())
             except OSError as error:
-                if said != (said := described(error)):
+                if said != (said := safe_description(error)):
                     self.log("policy", "cannot read what was written down", why=said)
                 await trio.sleep(AGAIN)
 
@@ -153,7 +153,7 @@
         try:
             what(*fields)
         except Exception as error:
-            self.log("fault", part="policy", why=described(error), at_line=where(error))
+            self.log("fault", part="policy", why=safe_description(error), at_line=error_location(error))
 
     def heard(self, name, life, payload, address):
         if not self.accord or name == self.name:
@@ -215,9 +215,9 @@
             await self.unwritten.wait()
             kept, waiting, self.waiting = self.accord.kept, self.waiting, []
             try:
-                await self.files.aside(self.folder.write, KEPT, kept)
+                await self.files.run_in_thread(self.folder.write, KEPT, kept)
             except OSError as error:
-                if said != (said := described(error)):
+                if said != (said := safe_description(error)):
                     self.log("policy", "cannot write down a promise, so it is not given", why=said)
                 await trio.sleep(AGAIN)
                 continue
@@ -245,9 +245,9 @@
             try:
                 settings = self.settings(document)
                 if kept != self.documents:
-                    await self.files.aside(self.folder.write, TERMS, kept)
+                    await self.files.run_in_thread(self.folder.write, TERMS, kept)
             except (OSError, Unfit) as error:
-                if said != (said := described(error)):
+                if said != (said := safe_description(error)):
                     self.log("policy", "cannot be put in force yet", number=number, why=said)
                 await trio.sleep(AGAIN)
                 self.decided.set()
@@ -294,7 +294,7 @@
             if not self.accord or digest_of(self.files.read(path, words.MOST_DOCUMENT)) != self.accord.digest:
                 self.offer(path, path)
         except (OSError, NotProposed) as error:
-            fields = error.fields if isinstance(error, NotProposed) else {}
+            fields = error.log_fields if isinstance(error, NotProposed) else {}
             self.log("policy", "not proposed", file=path, why=str(error), **fields)
 
     def phase_changed(self, phase):
--- a/juniperlanding/cli/__init__.py
+++ b/juniperlanding/cli/__init__.py
@@ -22,7 +22,7 @@
 import os
 import sys
 
-from juniperlanding.ground.errors import Trouble
+from juniperlanding.ground.errors import OperatorError
 
 COMMANDS = {
     "serve": ("serve", "run one dispatcher"),
@@ -83,8 +83,8 @@
         return EXIT_USAGE
     except Refused as error:
         return print_error(str(error).splitlines(), error.code)
-    except Trouble as error:
-        return print_error(error.told, EXIT_USAGE)
+    except OperatorError as error:
+        return print_error(error.display_lines, EXIT_USAGE)
     except KeyboardInterrupt:
         return EXIT_INTERRUPTED
     except BrokenPipeError:
--- a/juniperlanding/cli/check.py
+++ b/juniperlanding/cli/check.py
@@ -21,12 +21,12 @@
 
 def run(args):
     from juniperlanding.ground import effective, file
-    from juniperlanding.ground.errors import Trouble
-    from juniperlanding.ground.seams import Files
+    from juniperlanding.ground.errors import OperatorError
+    from juniperlanding.ground.seams import FileSystem
     from juniperlanding.net import config
 
     path = args["FILE"]
-    files = Files()
+    files = FileSystem()
     failure = None
     values = {}
     if not path and "EDGE_CONFIG" not in os.environ:
@@ -37,18 +37,19 @@
         values = effective.values(parsed, platform)
         if path is None or args["--effective"]:
             config.read(os.environ, files, config.from_operators(parsed) if parsed else None)
-    except (Trouble, KeyError, OSError, ValueError, TypeError, AttributeError) as error:
+    except (OperatorError, KeyError, OSError, ValueError, TypeError, AttributeError) as error:
         failure = config.to_operator_error(error)
     if args["--json"]:
         json_values = {
-            key: {"value": effective.plain(value), "from": origin} for key, (value, origin) in values.items()
+            key: {"value": effective.to_json(value), "from": origin}
+            for key, (value, origin) in values.items()
         }
         result = {"ok": not failure, "errors": [], "values": json_values if args["--effective"] else {}}
         if failure:
-            result |= {"errors": getattr(failure, "lines", [failure.what]), **failure.fields}
+            result |= {"errors": getattr(failure, "lines", [failure.message]), **failure.log_fields}
         print(json.dumps(result, indent=2))
     elif failure:
-        print_error(failure.told, EXIT_USAGE)
+        print_error(failure.display_lines, EXIT_USAGE)
     elif args["--effective"]:
         print("\n".join(effective.lines(values)))
     else:
--- a/juniperlanding/cli/emulate.py
+++ b/juniperlanding/cli/emulate.py
@@ -37,12 +37,14 @@
 def load_scenario(args):
     from juniperlanding.emulator import scenario
     from juniperlanding.ground.file import FileError
-    from juniperlanding.ground.seams import Files
+    from juniperlanding.ground.seams import FileSystem
     from juniperlanding.ground.units import Duration
 
     try:
         loaded = (
-            scenario.read(args["FILE"], Files()) if args["FILE"] else scenario.completed(scenario.Scenario())
+            scenario.read(args["FILE"], FileSystem())
+            if args["FILE"]
+            else scenario.completed(scenario.Scenario())
         )
         return scenario.without(loaded, length=Duration.parse(args["--until"])) if args["--until"] else loaded
     except FileError as error:
--- a/juniperlanding/cli/owed.py
+++ b/juniperlanding/cli/owed.py
@@ -10,12 +10,12 @@
 import json
 
 from juniperlanding.cli import print_error
-from juniperlanding.ground.errors import system
+from juniperlanding.ground.errors import as_operator_error
 from juniperlanding.net import ledger
 
 
 def run(args):
-    files = ledger.Files()
+    files = ledger.FileSystem()
     folder = args["FOLDER"]
     try:
         if ledger.MANIFEST in files.list(folder):
@@ -25,9 +25,9 @@
         else:
             ledgers = [ledger.LedgerState(files).load(f"{folder}/{ledger.FILE}")]
     except OSError as error:
-        raise system(error, folder) from None
+        raise as_operator_error(error, folder) from None
     if damaged := sum(books.damaged for books in ledgers):
-        print_error(ledger.Damaged(f"{folder}: {damaged} records cannot be read").told, None)
+        print_error(ledger.Damaged(f"{folder}: {damaged} records cannot be read").display_lines, None)
     for notification in (one for books in ledgers for one in books.notifications.values()):
         if args["--json"]:
             print(
--- a/juniperlanding/cli/reference.py
+++ b/juniperlanding/cli/reference.py
@@ -27,7 +27,7 @@
 
 def errors_page():
     """Return the page, made from every error class with a code, including those of disabled features."""
-    from juniperlanding.ground.errors import known
+    from juniperlanding.ground.errors import all_error_classes
 
     for module in pkgutil.walk_packages(juniperlanding.__path__, "juniperlanding."):
         if module.name.split(".")[1] not in NOT_IN_SERVICE:
@@ -35,15 +35,15 @@
     rows = [
         f"| `{kind.code}` | {' '.join(kind.__doc__.split())} | {kind.remedy} | "
         f"`{kind.__module__.removeprefix('juniperlanding.')}.{kind.__name__}` |"
-        for kind in known()
+        for kind in all_error_classes()
     ]
     return "\n".join([ERRORS_HEADER, *rows, ""])
 
 
 ERRORS_HEADER = """# Errors reported to operators
 
-Made by `juniperlanding reference --errors > docs/errors.md` from the classes that derive from `Trouble` in
-`juniperlanding/ground/errors.py`.
+Made by `juniperlanding reference --errors > docs/errors.md` from the classes that derive from
+`OperatorError` in `juniperlanding/ground/errors.py`.
 
 A code never changes once it is released; the text beside it may. It appears
 
--- a/juniperlanding/cli/serve.py
+++ b/juniperlanding/cli/serve.py
@@ -31,7 +31,7 @@
 
 
 def load_config(read):
-    """Return the configuration, or raise a `Trouble` that says what is wrong with it."""
+    """Return the configuration, or raise an `OperatorError` that says what is wrong with it."""
     try:
         return read()
     except Exception as error:
@@ -53,9 +53,9 @@
 
 
 def start(path, early_hangups):
-    from juniperlanding.ground.seams import system
+    from juniperlanding.ground.seams import real_system
 
-    interfaces = system()
+    interfaces = real_system()
     read = config_reader(path, os.environ, interfaces.files)
     config = load_config(read)
     import trio
@@ -68,16 +68,16 @@
 async def serve(config, interfaces, read, early_hangups):
     import trio
 
-    from juniperlanding.ground.errors import system
-    from juniperlanding.ground.log import never_wait
+    from juniperlanding.ground.errors import as_operator_error
+    from juniperlanding.ground.log import make_stderr_nonblocking
     from juniperlanding.net.node import Node
     from juniperlanding.net.succession import start_node
 
     try:
         node = await start_node(lambda offer: Node(config, interfaces, offer=offer), config, interfaces)
     except OSError as error:
-        raise system(error, config.state) from None
-    never_wait()
+        raise as_operator_error(error, config.state) from None
+    make_stderr_nonblocking()
     stopping = False
     close_results = []
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP) as signals:
--- a/juniperlanding/emulator/disk.py
+++ b/juniperlanding/emulator/disk.py
@@ -1,6 +1,7 @@
 """An emulated disk: files that outlast a process, with faults at every call.
 
-The seam is `ground.seams.Files`.  `Disk` is what lasts; `Mount` is one process's view of it, gone with it.
+It has the methods of `ground.seams.FileSystem`.  `Disk` is what lasts; `Mount` is one process's view of it,
+gone with it.
 Every
 call has a number; a `Plan` says what happens at which: nothing, an error, a short write, or the end of the
 process before or after the call."""
@@ -43,7 +44,7 @@
     def __init__(self, disk, die=lambda: None):
         self.disk, self.die, self.open_files, self.next, self.dead = disk, die, {}, 3, False
 
-    async def aside(self, what, *fields):
+    async def run_in_thread(self, what, *fields):
         return what(*fields)
 
     def step(self, name, path=""):
--- a/juniperlanding/emulator/process.py
+++ b/juniperlanding/emulator/process.py
@@ -11,7 +11,7 @@
 
 from juniperlanding.emulator.clock import SEC, HostClock, elapsed
 from juniperlanding.emulator.disk import BLOCK, Disk, Killed, Mount
-from juniperlanding.ground.seams import World
+from juniperlanding.ground.seams import System
 from juniperlanding.net import config
 from juniperlanding.net.node import Node
 
@@ -88,13 +88,13 @@
         `ended` is set then; what it left behind, as tasks or as faults, is told to the watch."""
         self.ended, self.draining, self.scope, self.node, self.over = trio.Event(), False, None, None, False
         self.mount, self.reach, self.seen_ready = Mount(self.disk, self.died), Reach(self.host), False
-        world = World(self.clock.process_clock(), self.reach, self.mount)
+        system = System(self.clock.process_clock(), self.reach, self.mount)
         try:
             told = config.read(self.environ, Mount(self.disk))
             told.seed = f"{told.seed}/{self.starts}"
             self.starts += 1
             with trio.CancelScope() as self.scope:
-                self.node = Node(told, world, log=self.watch.log_of(self))
+                self.node = Node(told, system, log=self.watch.log_of(self))
                 self.watch.started(self)
                 async with trio.open_nursery() as self.nursery:
                     await self.nursery.start(self.node.run)
--- a/juniperlanding/fleet/agent.py
+++ b/juniperlanding/fleet/agent.py
@@ -10,21 +10,21 @@
 from juniperlanding.fleet import words
 from juniperlanding.fleet.members import View
 from juniperlanding.fleet.words import PHASES
-from juniperlanding.ground.errors import Trouble, system
-from juniperlanding.ground.log import described, where
+from juniperlanding.ground.errors import OperatorError, as_operator_error
+from juniperlanding.ground.log import error_location, safe_description
 from juniperlanding.ground.part import Part
 
 FILE, MOST_KEY, MOST_REMEMBERED = "fleet", 1 << 12, 256
 WRITE_EVERY, BIND_AGAIN, MOST_TOGETHER = 2.0, 0.05, 256
 
 
-class KeyUnreadable(Trouble, OSError):
+class KeyUnreadable(OperatorError, OSError):
     """The fleet's key file cannot be read at the start, though the operators' file was in order."""
 
     code, remedy = "fleet-key-unreadable", "Put the key file back, of mode 0600 for the dispatcher's user."
 
 
-class NameTaken(Trouble):
+class NameTaken(OperatorError):
     """Another process of the fleet goes by this dispatcher's name; the younger of the two yields."""
 
     code, remedy = "fleet-name-taken", "Give each dispatcher a name of its own; the other is at `address`."
@@ -37,14 +37,14 @@
 
     section = "fleet"
 
-    def __init__(self, told, name, state, world, load, log):
-        self.told, self.world, self.load, self.log = told, world, load, log
+    def __init__(self, told, name, state, system, load, log):
+        self.told, self.system, self.load, self.log = told, system, load, log
         self.name = name[: words.MOST_NAME]  # the platform's may be longer than what members hear
         self.path, self.view, self.sock, self.news = f"{state}/{FILE}", None, None, trio.Event()
         try:
-            self.key = world.files.read(told.key, MOST_KEY).strip()[:64]
+            self.key = system.files.read(told.key, MOST_KEY).strip()[:64]
         except OSError as error:
-            raise KeyUnreadable.of(error) from None
+            raise KeyUnreadable.from_os_error(error) from None
         self.noise, self.sent, self.received, self.phase = 0, 0, 0, PHASES.index("serving")
         self.channels = {}
 
@@ -56,7 +56,7 @@
         self.sock = await self.bound()
         try:
             host, port = self.told.advertise or self.told.address
-            life = crc32(f"{self.name}/{self.world.clock.now()}/{self.sock.address}".encode()) | 1 << 32
+            life = crc32(f"{self.name}/{self.system.clock.now()}/{self.sock.address}".encode()) | 1 << 32
             me = words.Record(
                 self.name, 0, words.ALIVE, host, port, self.told.site, self.phase, VERSION, life=life
             )
@@ -81,10 +81,10 @@
         said = None
         while True:
             try:
-                return self.world.network.datagrams(self.told.address)
+                return self.system.network.datagrams(self.told.address)
             except OSError as error:
-                if said != (said := described(error)):
-                    self.log("fleet", "no address yet", why=said, **system(error).fields)
+                if said != (said := safe_description(error)):
+                    self.log("fleet", "no address yet", why=said, **as_operator_error(error).log_fields)
                 await trio.sleep(BIND_AGAIN)
 
     async def receive(self):
@@ -101,7 +101,7 @@
                 self.noise += 1
                 continue
             except OSError as error:
-                self.log("fleet", "cannot receive", why=described(error))
+                self.log("fleet", "cannot receive", why=safe_description(error))
                 await trio.sleep(BIND_AGAIN)
                 continue
             self.received += 1
@@ -135,7 +135,7 @@
         try:
             what(*fields)
         except Exception as error:
-            self.log("fault", part="fleet", why=described(error), at_line=where(error))
+            self.log("fault", part="fleet", why=safe_description(error), at_line=error_location(error))
 
     def carry_out(self):
         view = self.view
@@ -162,7 +162,7 @@
                 "another process has our name",
                 address=f"{record.host}:{record.port}",
                 yields=view.me.life > record.life,
-                **NameTaken().fields,
+                **NameTaken().log_fields,
             )
         self.log(
             "fleet",
@@ -223,12 +223,14 @@
     def remembered(self):
         """Addresses that an earlier process knew.  Threat: a torn or foreign file; it counts as none."""
         try:
-            found = msgspec.json.decode(self.world.files.read(self.path, 1 << 20), type=list[tuple[str, int]])
+            found = msgspec.json.decode(
+                self.system.files.read(self.path, 1 << 20), type=list[tuple[str, int]]
+            )
             return [address for address in found if words.reachable(address)][:MOST_REMEMBERED]
         except FileNotFoundError:
             return []
         except (OSError, msgspec.MsgspecError) as error:
-            self.log("fleet", "remembers nobody", why=described(error))
+            self.log("fleet", "remembers nobody", why=safe_description(error))
             return []
 
     async def remember(self):
@@ -240,15 +242,20 @@
             if living == written or not living:
                 continue
             try:
-                file = self.world.files.open(self.path + ".new", fresh=True)
+                file = self.system.files.open(self.path + ".new", fresh=True)
                 try:
                     data = memoryview(msgspec.json.encode(living))
                     while data:
-                        data = data[self.world.files.write(file, data) :]
+                        data = data[self.system.files.write(file, data) :]
                 finally:
-                    self.world.files.close(file)
-                self.world.files.rename(self.path + ".new", self.path)
+                    self.system.files.close(file)
+                self.system.files.rename(self.path + ".new", self.path)
                 written = living
             except OSError as error:
-                if said != (said := described(error)):
-                    self.log("fleet", "cannot write down who is here", why=said, **system(error).fields)
+                if said != (said := safe_description(error)):
+                    self.log(
+                        "fleet",
+                        "cannot write down who is here",
+                        why=said,
+                        **as_operator_error(error).log_fields,
+                    )
--- a/juniperlanding/ground/effective.py
+++ b/juniperlanding/ground/effective.py
@@ -82,15 +82,15 @@
     return found | from_platform
 
 
-def plain(value):
+def to_json(value):
     """A value for JSON: quantities become text with their unit."""
     if isinstance(value, dict):
-        return {key: plain(inner) for key, inner in value.items()}
+        return {key: to_json(inner) for key, inner in value.items()}
     return str(value) if isinstance(value, Quantity) else value
 
 
 def lines(found):
     """One line for each value: KEY = VALUE  # ORIGIN."""
-    rows = [(f"{key} = {json.dumps(plain(value))}", origin) for key, (value, origin) in found.items()]
+    rows = [(f"{key} = {json.dumps(to_json(value))}", origin) for key, (value, origin) in found.items()]
     width = min(max(len(row) for row, _ in rows), 60)
     return [f"{row:<{width}}  # {origin}" for row, origin in rows]
--- a/juniperlanding/ground/lock.py
+++ b/juniperlanding/ground/lock.py
@@ -5,12 +5,12 @@
 import os
 from contextlib import suppress
 
-from juniperlanding.ground.errors import Trouble
+from juniperlanding.ground.errors import OperatorError
 
 LOCK_FILE = "lock"
 
 
-class Taken(Trouble, OSError):
+class Taken(OperatorError, OSError):
     """Another process uses the folder; `pid` is its process id, 0 when that cannot be read."""
 
     code = "folder-taken"
@@ -38,7 +38,7 @@
                 fcntl.flock(self.file, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except BlockingIOError:
                 raise Taken(folder, holder_pid(self.file)) from None
-            self.name()
+            self.write_pid()
         except BaseException:
             os.close(self.file)
             raise
@@ -50,7 +50,7 @@
         lock.file = file
         return lock
 
-    def name(self):
+    def write_pid(self):
         """Write the id of this process to the lock file.
 
         The file keeps its length: some systems flush a file that is truncated and written again, which blocks
--- a/juniperlanding/ground/log.py
+++ b/juniperlanding/ground/log.py
@@ -31,7 +31,7 @@
 PLAIN, JSON, CONSOLE = FORMS = ("plain", "json", "console")
 
 
-def never_wait():
+def make_stderr_nonblocking():
     """Make standard error non-blocking if it is a pipe.
 
     A log reader that stops reading would otherwise block the program; now its lines are lost instead."""
@@ -39,7 +39,7 @@
         os.set_blocking(2, False)
 
 
-def described(error):
+def safe_description(error):
     """A description of an error that cannot contain any part of a notification.
 
     The text of a KeyError or ValueError is often the value itself, which may be a key or a body; so only the
@@ -48,7 +48,7 @@
     return f"{type(error).__name__}: {message}" if message else type(error).__name__
 
 
-def where(error):
+def error_location(error):
     """The function and line that raised an error."""
     traceback, location = error.__traceback__, "nowhere"
     while traceback:
@@ -175,7 +175,7 @@
     ).bind(instance=name)
 
 
-def to(name, clock, form=PLAIN, sink=None, lines=LINES):
+def open_log(name, clock, form=PLAIN, sink=None, lines=LINES):
     """The log of one instance: a callable that takes an event, optionally a text, and fields as keywords.
 
     `clock` is a `ground.clock.Clock`; `form` is one of FORMS; `sink` is a text file, by default standard
--- a/juniperlanding/ground/reference.py
+++ b/juniperlanding/ground/reference.py
@@ -104,7 +104,7 @@
 def groups():
     """(heading, description, struct, whether a list of tables) for the top-level keys, then each section."""
     yield "The whole file", "Keys outside of any section.", sections.File, False
-    for name, (kind, _, _) in file.fields(sections.File).items():
+    for name, (kind, _, _) in file.keys_of(sections.File).items():
         if file.section_of(kind):
             yield f"[{name}]", doc(kind), kind, False
         elif name in file.LISTS:
@@ -114,7 +114,7 @@
 
 def keys(struct):
     """(name, type, default, annotation) for each described key of a section, without nested sections."""
-    for name, (kind, value, meta) in file.fields(struct).items():
+    for name, (kind, value, meta) in file.keys_of(struct).items():
         if meta and not (struct is sections.File and (file.section_of(kind) or name in file.LISTS)):
             yield name, kind, value, meta
 
--- a/juniperlanding/ground/seams.py
+++ b/juniperlanding/ground/seams.py
@@ -1,8 +1,8 @@
 """System interfaces: a dispatcher uses clock, network and disk only through the classes here.
 
-A `World` is passed in at the start.  `system()` returns the one of the real machine; the emulator passes one
-with the same methods, so that the same program runs in simulated time.  The fourth interface is trio's clock
-(`trio.run(clock=...)`), by which all waiting is timed."""
+A `System` is passed in at the start.  `real_system()` returns the one of the real machine; the emulator
+passes one with the same methods, so that the same program runs in simulated time.  The fourth interface
+is trio's clock (`trio.run(clock=...)`), by which all waiting is timed."""
 
 import errno
 import os
@@ -14,7 +14,7 @@
 import trio
 
 from juniperlanding.ground.clock import Clock
-from juniperlanding.ground.errors import Trouble
+from juniperlanding.ground.errors import OperatorError
 from juniperlanding.ground.lock import Lock
 
 BACKLOG = 1024
@@ -70,7 +70,7 @@
         self.sock.close()
 
 
-class AddressRefused(Trouble, OSError):
+class AddressRefused(OperatorError, OSError):
     """An address cannot be bound: it is not one of this machine, or the port needs more permissions."""
 
     code = "address-refused"
@@ -85,7 +85,7 @@
 
 
 def address_error(error, address):
-    """The `Trouble` for an address that could not be bound."""
+    """The `OperatorError` for an address that could not be bound."""
     kind = AddressTaken if error.errno == errno.EADDRINUSE else AddressRefused
     return kind(error.errno, error.strerror, "{}:{}".format(*address))
 
@@ -215,8 +215,8 @@
         return Listener(None, raw) if listening else Socket(raw)
 
 
-class Files:
-    """Files by path and descriptor; most methods are one system call and raise its OSError.
+class FileSystem:
+    """FileSystem by path and descriptor; most methods are one system call and raise its OSError.
 
     A write may be short, as write(2) is."""
 
@@ -244,7 +244,7 @@
     def unlink(self, path):
         os.unlink(path)
 
-    async def aside(self, what, *fields):
+    async def run_in_thread(self, what, *fields):
         """Run a function that may block on the disk in a thread; not cancelled once it has begun."""
         return await trio.to_thread.run_sync(what, *fields)
 
@@ -284,14 +284,14 @@
 
 
 @dataclass(frozen=True)
-class World:
+class System:
     """The system interfaces that a dispatcher uses."""
 
     clock: Clock
     network: Network
-    files: Files
+    files: FileSystem
 
 
-def system():
+def real_system():
     """Clock, network and disk of the real machine."""
-    return World(Clock(), Network(), Files())
+    return System(Clock(), Network(), FileSystem())
--- a/juniperlanding/net/clients.py
+++ b/juniperlanding/net/clients.py
@@ -5,8 +5,8 @@
 
 from juniperlanding import rules
 from juniperlanding.choice import SEC
-from juniperlanding.ground.errors import system
-from juniperlanding.ground.log import described, where
+from juniperlanding.ground.errors import as_operator_error
+from juniperlanding.ground.log import error_location, safe_description
 from juniperlanding.net import protocol
 from juniperlanding.net.counters import DECLINED
 from juniperlanding.net.line import CONNECTION_ERRORS, HttpConnection
@@ -143,7 +143,7 @@
         """Count and log a failed accept, free resources if that may help, and back off."""
         self.counters[f"accept_errors_{errno_name(error)}"] += 1
         if self.accept_errors.should_log(error, trio.current_time()):
-            self.log("accept", why=described(error), **system(error).fields)
+            self.log("accept", why=safe_description(error), **as_operator_error(error).log_fields)
         if affected(error) is Affected.RESOURCES:
             self.free_resources()
         await trio.sleep(self.accept_errors.pause(error))
@@ -229,7 +229,7 @@
             reason = type(error).__name__
         except Exception as error:  # an error on one connection must not end the program
             reason = "fault"
-            self.log("fault", part="client", why=described(error), at_line=where(error))
+            self.log("fault", part="client", why=safe_description(error), at_line=error_location(error))
         finally:
             self.peers.pop(connection, None)
             if reason == "carried":
--- a/juniperlanding/net/config.py
+++ b/juniperlanding/net/config.py
@@ -5,14 +5,14 @@
 from dataclasses import dataclass
 
 from juniperlanding.choice import SEC
-from juniperlanding.ground.errors import Trouble
+from juniperlanding.ground.errors import OperatorError
 from juniperlanding.net import protocol
 from juniperlanding.settings import report_names, translate_settings
 
 MAX_FILE_BYTES = 64 << 20  # of the platform's file; enough for some hundred thousand endpoints
 
 
-class Untold(Trouble, KeyError):
+class Untold(OperatorError, KeyError):
     """A value that is required to start is set by neither the platform nor an operators' file."""
 
     code = "config-untold"
@@ -23,14 +23,14 @@
         return f"{self.args[0]} is set by neither the platform nor an operators' file"
 
 
-class PlatformRefused(Trouble, ValueError):
+class PlatformRefused(OperatorError, ValueError):
     """The platform's file has invalid contents; at SIGHUP the old values stay in force."""
 
     code = "platform-refused"
     remedy = "Have the file that EDGE_CONFIG names corrected, then start again or send SIGHUP."
 
 
-class PlatformUnreadable(Trouble, OSError):
+class PlatformUnreadable(OperatorError, OSError):
     """The platform's file cannot be read; after SIGHUP the read is retried automatically."""
 
     code = "platform-unreadable"
@@ -38,11 +38,11 @@
 
 
 def to_operator_error(error):
-    """The `Trouble` to report for a configuration that could not be read, whatever was raised."""
-    if isinstance(error, Trouble):
+    """The `OperatorError` to report for a configuration that could not be read, whatever was raised."""
+    if isinstance(error, OperatorError):
         return error
     if isinstance(error, OSError):
-        return PlatformUnreadable.of(error)
+        return PlatformUnreadable.from_os_error(error)
     return PlatformRefused(f"{type(error).__name__}: {error}")
 
 
@@ -194,7 +194,7 @@
     settings["batch_by_kind"] = [kind.batch for kind in kinds]
     settings["routes_apart"] = [kind.routes_apart for kind in kinds]
     if operators_file.tables["topic"]:
-        settings["topic_types"] = [file.topic(entry) for entry, _ in operators_file.tables["topic"]]
+        settings["topic_types"] = [file.topic_settings(entry) for entry, _ in operators_file.tables["topic"]]
     members = [
         {
             "id": endpoint.id,
--- a/juniperlanding/net/door.py
+++ b/juniperlanding/net/door.py
@@ -5,8 +5,8 @@
 
 import trio
 
-from juniperlanding.ground.errors import Trouble, system
-from juniperlanding.ground.log import described, field, where
+from juniperlanding.ground.errors import OperatorError, as_operator_error
+from juniperlanding.ground.log import error_location, field, safe_description
 from juniperlanding.net.line import CONNECTION_ERRORS, linger
 from juniperlanding.net.system_errors import AcceptErrors
 
@@ -17,7 +17,7 @@
 DESCRIPTORS = MAX_CALLERS + 4
 
 
-class Rejected(Trouble):
+class Rejected(OperatorError):
     """A call answered with `NAK` and this reason, which is a state of the process and not an error."""
 
 
@@ -29,8 +29,8 @@
 
 class AdminPort:
     """`calls` maps a call's word to a function that returns the lines after `ACK`, or raises `Rejected` or
-    another `Trouble`; `commands_with_argument` does so for calls with an argument, and its functions take the
-    rest of the line."""
+    another `OperatorError`; `commands_with_argument` does so for calls with an argument, and its
+    functions take the rest of the line."""
 
     def __init__(self, listener, calls, counters, log, commands_with_argument=()):
         self.listener, self.calls, self.counters, self.log = listener, calls, counters, log
@@ -46,7 +46,12 @@
                 errors.succeeded()
             except OSError as error:
                 if errors.should_log(error, trio.current_time()):
-                    self.log("door", "cannot accept", why=described(error), **system(error).fields)
+                    self.log(
+                        "door",
+                        "cannot accept",
+                        why=safe_description(error),
+                        **as_operator_error(error).log_fields,
+                    )
                 await trio.sleep(errors.pause(error))
                 continue
             # Callers that never finish their line must not keep operators out: cancel the oldest call.
@@ -60,9 +65,15 @@
             with scope:
                 try:
                     answer = ["ACK", *self.answer(await self.read_line(sock))]
-                except Trouble as error:
+                except OperatorError as error:
                     answer = [
-                        " ".join(["NAK", error.what, *map(field, error.fields.items() if error.code else ())])
+                        " ".join(
+                            [
+                                "NAK",
+                                error.message,
+                                *map(field, error.log_fields.items() if error.code else ()),
+                            ]
+                        )
                     ]
                     self.counters["door_refused"] += 1
                 self.counters["door_calls"] += 1
@@ -75,7 +86,7 @@
         except CONNECTION_ERRORS:
             pass
         except Exception as error:  # an unexpected failure in one call must not end the process
-            self.log("fault", part="door", why=described(error), at_line=where(error))
+            self.log("fault", part="door", why=safe_description(error), at_line=error_location(error))
         finally:
             self.open_calls.pop(sock, None)
             sock.close()
--- a/juniperlanding/net/endpoints.py
+++ b/juniperlanding/net/endpoints.py
@@ -11,7 +11,7 @@
 import trio
 
 from juniperlanding.choice import MS, SEC, TRANSIT_MARGIN_DIVISOR
-from juniperlanding.ground.log import described, where
+from juniperlanding.ground.log import error_location, safe_description
 from juniperlanding.handover import steps
 from juniperlanding.net import protocol
 from juniperlanding.net.counters import FORWARDS
@@ -62,11 +62,11 @@
     known."""
 
     def __init__(
-        self, config, world, most_open, on_outcomes, counters, log, may_leave=lambda endpoint, pushes: True
+        self, config, system, most_open, on_outcomes, counters, log, may_leave=lambda endpoint, pushes: True
     ):
         self.may_leave = may_leave  # whether the last byte of a call with these pushes may leave
-        self.now = world.clock.now
-        self.network = world.network
+        self.now = system.clock.now
+        self.network = system.network
         self.connection_limit = trio.Semaphore(most_open)
         self.on_outcomes = on_outcomes
         self.counters = counters
@@ -200,7 +200,13 @@
             reason = type(error).__name__
         except Exception as error:  # an unexpected response must not end the process
             reason = type(error).__name__
-            self.log("fault", part="call", endpoint=call.endpoint, why=described(error), at_line=where(error))
+            self.log(
+                "fault",
+                part="call",
+                endpoint=call.endpoint,
+                why=safe_description(error),
+                at_line=error_location(error),
+            )
         finally:
             call.deadline_watch.cancel()
             if self.frozen and call.written and not all(push.cancelled or push.over for push in call.pushes):
--- a/juniperlanding/net/ledger.py
+++ b/juniperlanding/net/ledger.py
@@ -26,8 +26,8 @@
 from dataclasses import dataclass, field
 
 from juniperlanding.ground.clock import ClockStamp
-from juniperlanding.ground.errors import Trouble
-from juniperlanding.ground.seams import Files
+from juniperlanding.ground.errors import OperatorError
+from juniperlanding.ground.seams import FileSystem
 from juniperlanding.net.ledger_codec import is_valid, line, parse, records_within, repaired
 
 FILE = "ledger"
@@ -47,7 +47,7 @@
 INVALID_RECORD = ValueError, TypeError, KeyError, IndexError  # raised by a damaged or unknown record
 
 
-class Unreadable(Trouble, OSError):
+class Unreadable(OperatorError, OSError):
     """The ledger cannot be read. A starting process exits; one that takes the folder back retries."""
 
     code = "ledger-unreadable"
@@ -56,14 +56,14 @@
     )
 
 
-class Damaged(Trouble):
+class Damaged(OperatorError):
     """Complete records of the ledger cannot be read; a last record cut off by a kill does not count."""
 
     code = "ledger-damaged"
     remedy = "Check the disk, and whether another version wrote to it; what only these records held is lost."
 
 
-class Split(Trouble, OSError):
+class Split(OperatorError, OSError):
     """The ledger is split into several files but shards are disabled; pending work would be missed."""
 
     code = "ledger-split"
@@ -111,7 +111,7 @@
     """The state that the records read so far add up to."""
 
     def __init__(self, files=None):
-        self.files = files or Files()
+        self.files = files or FileSystem()
         self.notifications = {}  # id: PendingNotification
         self.pending_size = 0
         self.invalid_lines = 0  # lines that are not one valid record
--- a/juniperlanding/net/node.py
+++ b/juniperlanding/net/node.py
@@ -6,8 +6,8 @@
 
 from juniperlanding.choice import SEC
 from juniperlanding.ground import log as logs
-from juniperlanding.ground.errors import system
-from juniperlanding.ground.log import described
+from juniperlanding.ground.errors import as_operator_error
+from juniperlanding.ground.log import safe_description
 from juniperlanding.net import config, door, parts, protocol
 from juniperlanding.net.clients import EXTRA_CONNECTIONS, Clients
 from juniperlanding.net.counters import Counters
@@ -49,28 +49,28 @@
 
 
 class Node:
-    """One dispatcher, on the system interfaces in `world`.
+    """One dispatcher, on the system interfaces in `system`.
 
     The constructor binds the address, locks the state folder (OSError if either cannot be had) and opens the
     ledger; with an `offer` it takes all three over from the previous process and changes nothing on disk yet.
     The address is bound before the ledger is opened, since opening rewrites it: a process that cannot listen
     must leave it alone."""
 
-    def __init__(self, configuration, world, log=None, offer=None):
+    def __init__(self, configuration, system, log=None, offer=None):
         # `previous_process` is the channel to the process that handed over, held open while this one lives.
-        self.config, self.world, self.offer, self.previous_process = configuration, world, offer, None
+        self.config, self.system, self.offer, self.previous_process = configuration, system, offer, None
         self.counters = Counters(topic.get("name") for topic in configuration.settings["topic_types"])
-        self.log = log or logs.to(configuration.name, world.clock, **configuration.log)
+        self.log = log or logs.open_log(configuration.name, system.clock, **configuration.log)
         self.reread_scope, self.reload_retry_after, self.replaced = trio.CancelScope(), RELOAD_RETRY_S, False
         self.listener = self.lock = self.admin_port = None
         self.stops_at = 0
-        self.process_handover = ProcessHandover(configuration, world, self.log)
+        self.process_handover = ProcessHandover(configuration, system, self.log)
         self.parts = parts.build_parts(self)
         try:
             self.claim(offer)
             if configuration.management:
                 listener, commands_with_argument = (
-                    world.network.bind(configuration.management),
+                    system.network.bind(configuration.management),
                     parts.merged(self.parts, "commands_with_argument", {}),
                 )
                 self.admin_port = door.AdminPort(
@@ -86,36 +86,39 @@
         if offer:
             self.lock, self.listener = offer.lock, offer.listener
         else:
-            self.lock = self.world.files.lock(self.config.state)
+            self.lock = self.system.files.lock(self.config.state)
             try:
-                self.listener = self.world.network.bind(self.config.listen)
+                self.listener = self.system.network.bind(self.config.listen)
             except BaseException:
                 self.lock.close()
                 raise
 
     def build(self, offer=None):
         """Build the components that serve from the contents of the folder."""
-        configuration, world, common = self.config, self.world, (self.counters, self.log)
+        configuration, system, common = self.config, self.system, (self.counters, self.log)
         if offer:
-            offer.resume(world.clock)
-        self.ledger = parts.open_ledger(configuration, world.files, bool(offer), world.clock)
-        self.decision_loop = decision_loop = DecisionLoop(configuration, world.clock, self.ledger, *common)
+            offer.resume(system.clock)
+        self.ledger = parts.open_ledger(configuration, system.files, bool(offer), system.clock)
+        self.decision_loop = decision_loop = DecisionLoop(configuration, system.clock, self.ledger, *common)
         max_clients, self.max_endpoint_connections = connection_limits(configuration)
         call_ended = partial(decision_loop.enqueue, decision_loop.on_outcomes)
         decision_loop.endpoints = Endpoints(
-            configuration, world, self.max_endpoint_connections, call_ended, *common, decision_loop.may_leave
+            configuration, system, self.max_endpoint_connections, call_ended, *common, decision_loop.may_leave
         )
         decision_loop.notices = Notices(
-            world.network,
+            system.network,
             configuration.discovery,
             partial(decision_loop.enqueue, decision_loop.record_end),
             *common,
         )
         decision_loop.discovery = Discovery(
-            configuration, world.network, partial(decision_loop.enqueue, decision_loop.on_list_news), self.log
+            configuration,
+            system.network,
+            partial(decision_loop.enqueue, decision_loop.on_list_news),
+            self.log,
         )
         self.clients = decision_loop.clients = Clients(
-            configuration, world.clock, max_clients, decision_loop, *common
+            configuration, system.clock, max_clients, decision_loop, *common
         )
         part_states = offer.state.get("parts", {}) if offer else {}
         for part in self.parts:
@@ -167,10 +170,10 @@
         )
         if self.ledger.rewrite_error:
             error = self.ledger.rewrite_error
-            fields = system(error).fields
-            self.log("ledger", "not rewritten at the start, goes on", why=described(error), **fields)
+            fields = as_operator_error(error).log_fields
+            self.log("ledger", "not rewritten at the start, goes on", why=safe_description(error), **fields)
         if self.ledger.damaged:
-            self.log("ledger", "records cannot be read", records=self.ledger.damaged, **Damaged().fields)
+            self.log("ledger", "records cannot be read", records=self.ledger.damaged, **Damaged().log_fields)
         async with trio.open_nursery() as nursery:
             for part in (
                 decision_loop.notices.run,
@@ -202,9 +205,12 @@
                 self.claim()
                 break
             except OSError as error:  # a third process has the folder, or still has the address
-                if logged != (logged := described(error)):
+                if logged != (logged := safe_description(error)):
                     self.log(
-                        "upgrade", "the folder stays with another process", why=logged, **system(error).fields
+                        "upgrade",
+                        "the folder stays with another process",
+                        why=logged,
+                        **as_operator_error(error).log_fields,
                     )
                 await trio.sleep(1)
         self.log("upgrade", "the process that took over is gone, serving again")
@@ -221,8 +227,8 @@
             try:
                 return self.build(offer)
             except OSError as error:
-                if logged != (logged := described(error)):
-                    self.log("ledger", "cannot be read", why=logged, **system(error).fields)
+                if logged != (logged := safe_description(error)):
+                    self.log("ledger", "cannot be read", why=logged, **as_operator_error(error).log_fields)
                 await trio.sleep(REBUILD_RETRY)
 
     def calls(self):
@@ -278,10 +284,10 @@
             discovery = read().discovery
         except Exception as error:  # a half-written or invalid file must not end the process
             self.reread_scope = trio.CancelScope()
-            if logged != (why := described(error)):
+            if logged != (why := safe_description(error)):
                 then = "tried again soon" if isinstance(error, OSError) else "the old one stays in force"
                 self.log(
-                    "config", f"cannot be read, {then}", why=why, **config.to_operator_error(error).fields
+                    "config", f"cannot be read, {then}", why=why, **config.to_operator_error(error).log_fields
                 )
             return self.nursery.start_soon(self.reread, read, why, self.reread_scope)
         self.log("config", "read again", discovery="{}:{}".format(*discovery))
@@ -319,7 +325,7 @@
         time_limit = protocol.SIGKILL_DELAY - protocol.CLIENT_RESPONSE_TIMEOUT / 4
         with trio.move_on_after(time_limit - SHUTDOWN_S):
             if not self.replaced:
-                self.stops_at = self.world.clock.now() + int(time_limit * SEC)
+                self.stops_at = self.system.clock.now() + int(time_limit * SEC)
                 await self.decision_loop.enqueue(self.decision_loop.dispatcher.plan_stop, self.stops_at)
             while not self.replaced and (
                 self.clients.open
@@ -377,9 +383,9 @@
             self.log(
                 "stop",
                 "the last records could not be written",
-                why=described(error),
+                why=safe_description(error),
                 records=len(self.ledger.unwritten),
-                **system(error).fields,
+                **as_operator_error(error).log_fields,
             )
         self.log(
             "stop", "what is owed stays in the ledger", owed=len(self.ledger.notifications), **self.counters
--- a/juniperlanding/net/owner.py
+++ b/juniperlanding/net/owner.py
@@ -10,8 +10,8 @@
 
 from juniperlanding import carry, rules
 from juniperlanding.choice import MS, NOT_EXECUTED, SEC, Dispatcher, repeats_until
-from juniperlanding.ground.errors import system
-from juniperlanding.ground.log import described, where
+from juniperlanding.ground.errors import as_operator_error
+from juniperlanding.ground.log import error_location, safe_description
 from juniperlanding.net import protocol
 from juniperlanding.net.counters import ABORTED, DECLINED, SUCCEEDED
 from juniperlanding.net.endpoints import PushAttempt
@@ -298,9 +298,9 @@
             self.ledger_failing = True
             self.next_write_at = now + self.write_backoff
             self.write_backoff = min(2 * self.write_backoff, MAX_WRITE_BACKOFF)
-            if self.logged_write_error != (message := described(error)):
+            if self.logged_write_error != (message := safe_description(error)):
                 self.logged_write_error = message
-                self.log_line("ledger", "cannot write", why=message, **system(error).fields)
+                self.log_line("ledger", "cannot write", why=message, **as_operator_error(error).log_fields)
             self.counters["ledger_errors"] += 1
 
     def flush_with_retries(self):
@@ -386,7 +386,7 @@
         except OSError as error:
             # The ledger on disk still has them as pending: after a kill, the next process would send them. So
             # their clients get a 500, which promises nothing.
-            self.log_line("ledger", "cannot write", why=described(error))
+            self.log_line("ledger", "cannot write", why=safe_description(error))
             self.ledger_failing = True
             self.next_write_at = self.dispatcher.now + WRITE_BACKOFF
             self.undo_iteration()
@@ -431,7 +431,7 @@
             function(*fields)
         except Exception as error:
             self.counters["faults"] += 1
-            self.log_line("fault", part="owner", why=described(error), at_line=where(error))
+            self.log_line("fault", part="owner", why=safe_description(error), at_line=error_location(error))
 
     def execute_requests(self):
         for answer in self.answers_due:
--- a/juniperlanding/net/parts.py
+++ b/juniperlanding/net/parts.py
@@ -9,7 +9,7 @@
     if config.fleet:
         from juniperlanding.fleet.agent import Agent
 
-        fleet = Agent(config.fleet, config.name, config.state, node.world, node.load, node.log)
+        fleet = Agent(config.fleet, config.name, config.state, node.system, node.load, node.log)
         parts.append(fleet)
         if config.policy:
             from juniperlanding.accord.part import Policy
--- a/juniperlanding/net/succession.py
+++ b/juniperlanding/net/succession.py
@@ -13,9 +13,9 @@
 from juniperlanding import carry
 from juniperlanding.choice import SEC
 from juniperlanding.ground.clock import ClockStamp
-from juniperlanding.ground.errors import Trouble, system
+from juniperlanding.ground.errors import OperatorError, as_operator_error
 from juniperlanding.ground.lock import Taken
-from juniperlanding.ground.log import described, where
+from juniperlanding.ground.log import error_location, safe_description
 from juniperlanding.handover import frames, steps
 from juniperlanding.net.endpoints import Call, PushAttempt
 from juniperlanding.net.line import HttpConnection
@@ -26,7 +26,7 @@
 SOCKET_GROUPS = ("clients", "calls", "idle")  # keys of the offer's state; their sockets follow in this order
 
 
-class Refusal(Trouble, OSError):
+class Refusal(OperatorError, OSError):
     """The process that holds the state folder refuses to hand it over, and says why."""
 
     code = "hand-over-refused"
@@ -41,7 +41,7 @@
     code, remedy = "hand-over-form", "End the old process by SIGTERM, then start this one."
 
 
-class NotTaken(Trouble):
+class NotTaken(OperatorError):
     """Another process asked for the state folder but ended or stopped answering before it took over; this
     process continues to serve."""
 
@@ -77,7 +77,7 @@
                 ),
             )
         except Exception as error:
-            node.log("fault", part="upgrade", why=described(error), at_line=where(error))
+            node.log("fault", part="upgrade", why=safe_description(error), at_line=error_location(error))
             return cls.collect(node, None)
 
     @classmethod
@@ -92,7 +92,7 @@
         calls, clients = decision_loop.endpoints.handed_over, node.clients.handed_over
         state = {
             "form": FORM,
-            "clock": astuple(stamp) if (stamp := node.world.clock.stamp()) else None,
+            "clock": astuple(stamp) if (stamp := node.system.clock.stamp()) else None,
             "version": module_state and carry.VERSION,
             "settings": settings_checksum(node.config.settings),
             "module": module_state,
@@ -150,7 +150,7 @@
         return cls(json.loads(json.dumps(state)), node.lock, node.listener, sockets)
 
     @classmethod
-    def from_message(cls, world, message, descriptors):
+    def from_message(cls, system, message, descriptors):
         """The offer in a received message; `OtherForm`, with all descriptors closed, if it cannot be read."""
         try:
             state = message["state"]
@@ -161,14 +161,14 @@
             lock, listener, *sockets = descriptors
             return cls(
                 state,
-                world.files.inherit_lock(lock),
-                world.network.inherit(listener, listening=True),
-                [world.network.inherit(descriptor) for descriptor in sockets],
+                system.files.inherit_lock(lock),
+                system.network.inherit(listener, listening=True),
+                [system.network.inherit(descriptor) for descriptor in sockets],
             )
         except (ValueError, TypeError, KeyError, OSError) as error:
-            world.network.close_descriptors(descriptors)
+            system.network.close_descriptors(descriptors)
             raise OtherForm(
-                0, f"the running process hands over in another format ({described(error)})", None
+                0, f"the running process hands over in another format ({safe_description(error)})", None
             ) from None
 
     def resume(self, clock):
@@ -244,8 +244,8 @@
 class ProcessHandover:
     """The owning process's side of a hand-over."""
 
-    def __init__(self, config, world, log):
-        self.config, self.world, self.log, self.sender = config, world, log, steps.Sender()
+    def __init__(self, config, system, log):
+        self.config, self.system, self.log, self.sender = config, system, log, steps.Sender()
         self.channel, self.listener, self.callers = None, None, 0
 
     def open(self, nursery, freeze):
@@ -255,9 +255,9 @@
         if self.listener:
             return
         try:
-            self.listener = self.world.network.handover_listener(self.config.state)
+            self.listener = self.system.network.handover_listener(self.config.state)
         except OSError as error:
-            return self.log("upgrade", "nobody can take over here", why=described(error))
+            return self.log("upgrade", "nobody can take over here", why=safe_description(error))
         nursery.start_soon(self.listen, nursery, freeze)
 
     async def listen(self, nursery, freeze):
@@ -266,7 +266,7 @@
                 try:
                     channel = await self.listener.accept()
                 except OSError as error:
-                    self.log("upgrade", "cannot accept", why=described(error))
+                    self.log("upgrade", "cannot accept", why=safe_description(error))
                     await trio.sleep(RETRY_INTERVAL)
                     continue
                 if self.callers >= steps.MAX_CALLERS:
@@ -283,7 +283,7 @@
                     listen = "{}:{}".format(*self.config.listen)
                     if received[0].get("listen") != listen:
                         why = f"it listens at {listen}"
-                    elif self.sender.hello(self.world.clock.steady()):
+                    elif self.sender.hello(self.system.clock.steady()):
                         self.channel = channel
                         self.log("upgrade", "another process takes over", pid=channel.peer()[0])
                     else:
@@ -293,7 +293,7 @@
             if self.channel is channel:
                 await freeze(steps.FREEZE_TIMEOUT / SEC)
         except (frames.Noise, OSError) as error:  # the caller closed, or is not a dispatcher
-            self.log("upgrade", "cannot read from a caller", why=described(error))
+            self.log("upgrade", "cannot read from a caller", why=safe_description(error))
         finally:
             self.callers -= 1
             if self.channel is not channel:
@@ -301,9 +301,9 @@
 
     async def hand_over(self, offer):
         """Whether the new process owns everything now; otherwise this one continues with the offer itself."""
-        self.sender.frozen(self.world.clock.steady())
+        self.sender.frozen(self.system.clock.steady())
         try:
-            with trio.move_on_after((self.sender.deadline - self.world.clock.steady()) / SEC):
+            with trio.move_on_after((self.sender.deadline - self.system.clock.steady()) / SEC):
                 await self.channel.send(frames.OFFER, offer.descriptors(), state=offer.state)
                 received = await self.channel.receive()
                 if received and received[0]["say"] == frames.READY and self.sender.ready():
@@ -313,12 +313,12 @@
                         self.sender.yours_not_sent()
                         raise
         except (frames.Noise, OSError) as error:
-            self.log("upgrade", "lost the connection to the new process", why=described(error))
+            self.log("upgrade", "lost the connection to the new process", why=safe_description(error))
         if self.sender.owns:
             self.sender.lost()
             self.channel.close()
             self.channel = None
-            self.log("upgrade", "nobody took over, serving on", **NotTaken().fields)
+            self.log("upgrade", "nobody took over, serving on", **NotTaken().log_fields)
             return False
         self.log(
             "upgrade",
@@ -350,53 +350,53 @@
             self.listener = None
 
 
-async def start_node(make, config, world):
+async def start_node(make, config, system):
     """The node of a process that owns its folder: at once, or taken over from the process that holds it.
 
     `make(offer)` builds the node.  Raises OSError when that process refuses or does not answer in time."""
-    receiver = steps.Receiver(world.clock.steady())
+    receiver = steps.Receiver(system.clock.steady())
     while True:
         try:
             return make(None)
         except Taken as taken:
             refused = taken
         try:
-            if node := await take_over(make, config, world, receiver):
+            if node := await take_over(make, config, system, receiver):
                 return node
         except (frames.Noise, OSError) as error:
-            if isinstance(error, Trouble):
+            if isinstance(error, OperatorError):
                 raise
-        if steps.END in receiver.lost(world.clock.steady()):
+        if steps.END in receiver.lost(system.clock.steady()):
             raise refused
         await trio.sleep(RETRY_INTERVAL)
 
 
-async def take_over(make, config, world, receiver):
+async def take_over(make, config, system, receiver):
     """Ask the process that holds the folder to hand it over; None when it did not.
 
-    Raises a `Trouble` for what a retry cannot change.  That the admin port's address can be bound is checked
-    first: asking stops the old process for a moment."""
+    Raises an `OperatorError` for what a retry cannot change.  That the admin port's address can be bound is
+    checked first: asking stops the old process for a moment."""
     if receiver.state != steps.ASKING:
         return None
     try:
         if config.management:
-            world.network.bind(config.management).close()
+            system.network.bind(config.management).close()
     except OSError as error:
-        raise system(error) from None
-    channel, node = world.network.connect_handover(config.state), None
+        raise as_operator_error(error) from None
+    channel, node = system.network.connect_handover(config.state), None
     try:
-        with trio.move_on_after((receiver.deadline - world.clock.steady()) / SEC):
+        with trio.move_on_after((receiver.deadline - system.clock.steady()) / SEC):
             await channel.send(frames.HELLO, listen="{}:{}".format(*config.listen))
             received = await channel.receive(allow_offer=True)
             if received and received[0]["say"] == frames.REFUSED:
                 raise Refusal(0, str(received[0].get("why")), config.state)
             if received and received[0]["say"] == frames.OFFER and receiver.offered():
-                node = load_offer(make, Offer.from_message(world, *received))
+                node = load_offer(make, Offer.from_message(system, *received))
                 receiver.loaded()
                 await channel.send(frames.READY)
                 received = await channel.receive()
                 if received and received[0]["say"] == frames.YOURS and receiver.yours():
-                    node.lock.name()
+                    node.lock.write_pid()
                     # The channel stays open: the old process takes its end as the end of this process.
                     node.previous_process, channel = channel, None
                     return node
@@ -410,12 +410,12 @@
 
 def load_offer(make, offer):
     """The node made from an offer.  If that fails the offer is closed, and an OSError is raised as a
-    `Trouble`, since asking again would not help."""
+    `OperatorError`, since asking again would not help."""
     try:
         return make(offer)
     except OSError as error:
         offer.close()
-        raise system(error) from None
+        raise as_operator_error(error) from None
     except BaseException:
         offer.close()
         raise
--- a/juniperlanding/processes/member.py
+++ b/juniperlanding/processes/member.py
@@ -95,7 +95,7 @@
         def datagrams(self, address):
             return Faulty(address, Links(links))
 
-    seams.system = lambda: seams.World(seams.Clock(), Network(), seams.Files())
+    seams.real_system = lambda: seams.System(seams.Clock(), Network(), seams.FileSystem())
     with open(links, encoding="utf-8") as file:
         mutant = json.load(file).get("mutant")
     if mutant:
--- a/juniperlanding/shards/books.py
+++ b/juniperlanding/shards/books.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from juniperlanding.ground.errors import Trouble
+from juniperlanding.ground.errors import OperatorError
 from juniperlanding.net.ledger import (
     ENDED_SHARE,
     FILE,
@@ -40,14 +40,14 @@
 Ranges = msgspec.json.Decoder(list[tuple[int, int, str]])
 
 
-class Damaged(Trouble, OSError):
+class Damaged(OperatorError, OSError):
     """The manifest cannot be understood; nothing is guessed, since a wrong guess owes nothing or twice."""
 
     code = "shards-damaged"
     remedy = "Put back the file `shards` as it was; the files ledger.N beside it hold what is owed."
 
 
-class NoRoom(Trouble, OSError):
+class NoRoom(OperatorError, OSError):
     """A rewrite would take more of the disk than the dispatcher may have."""
 
     code, remedy = "shards-no-room", "Raise limits.disk if it comes often; it is tried again by itself."
--- a/juniperlanding/shards/part.py
+++ b/juniperlanding/shards/part.py
@@ -5,7 +5,7 @@
 import trio
 
 from juniperlanding.choice import MS
-from juniperlanding.ground.log import described
+from juniperlanding.ground.log import safe_description
 from juniperlanding.ground.part import Part
 from juniperlanding.shards.growth import Growth
 from juniperlanding.shards.plan import Bounds, Foretold, Planner, Split, View, wasteful
@@ -21,7 +21,7 @@
     section = "shards"
 
     def __init__(self, told, node):
-        self.log, self.files, self.steady = node.log, node.world.files, node.world.clock.steady
+        self.log, self.files, self.steady = node.log, node.system.files, node.system.clock.steady
         most = told.most or node.config.disk // DISK_SHARE
         self.bounds = Bounds(most, told.least or most // LEAST_SHARE, told.count)
         self.planner, self.ledger = Planner(self.bounds), None
@@ -150,7 +150,7 @@
             if ledger.rewrite is rewrite:
                 ledger.commit()
         except OSError as error:
-            why = described(error)
+            why = safe_description(error)
         self.under_way = None
         if why or rewrite.why:
             self.counts["shard_failures"] += 1
@@ -162,7 +162,7 @@
         self.counts[f"shard_{what}s"] += 1
         self.last = what, size, took // MS
         self.log("shards", f"{what} done", shards=len(ledger.shards), live=size, took_ms=took // MS)
-        await self.files.aside(ledger.sweep)
+        await self.files.run_in_thread(ledger.sweep)
 
     def late(self):
         until = self.steady() + SLICE
@@ -172,7 +172,7 @@
         """Threat: given up by a round while a thread has its files; they go once the thread is done."""
         rewrite.busy = True
         try:
-            await self.files.aside(self.ledger.secure, rewrite)
+            await self.files.run_in_thread(self.ledger.secure, rewrite)
         except OSError as error:
             rewrite.busy = False
             if self.ledger.rewrite is rewrite:
--- a/juniperlanding/sites/part.py
+++ b/juniperlanding/sites/part.py
@@ -7,7 +7,7 @@
 
 from juniperlanding.choice import MS, SEC, RateLimit, known_limit
 from juniperlanding.fleet.words import ALIVE, DEAD, LEFT, SUSPECT
-from juniperlanding.ground.log import described, where
+from juniperlanding.ground.log import error_location, safe_description
 from juniperlanding.ground.part import Part
 from juniperlanding.series import Series
 from juniperlanding.sites import figures as words
@@ -57,7 +57,7 @@
         try:
             what(*fields)
         except Exception as error:
-            self.log("fault", part="sites", why=described(error), at_line=where(error))
+            self.log("fault", part="sites", why=safe_description(error), at_line=error_location(error))
 
     def site_of(self, zone):
         """A zone of endpoints is the site of the same name; one that nobody named is no site of ours."""
@@ -87,7 +87,7 @@
             }
         except (TypeError, KeyError, AttributeError) as error:
             # Threat: another version's form, and the replacement fails for it; what was learnt begins anew.
-            return self.log("sites", "what was learnt cannot be read", why=described(error))
+            return self.log("sites", "what was learnt cannot be read", why=safe_description(error))
         for name, series in found.items():
             setattr(self.outages, name, series)
 
@@ -96,7 +96,7 @@
             try:
                 await self.look()
             except Exception as error:  # threat: one odd figure must not end the program
-                self.log("fault", part="sites", why=described(error), at_line=where(error))
+                self.log("fault", part="sites", why=safe_description(error), at_line=error_location(error))
             await trio.sleep(max(EVERY, min(LONGEST, self.cost * LEISURE / SEC)))
 
     async def look(self):
--- a/juniperlanding/soak/shim.py
+++ b/juniperlanding/soak/shim.py
@@ -129,14 +129,14 @@
         return send
 
 
-class FailingFiles(seams.Files):
+class FailingFiles(seams.FileSystem):
     """Files whose writes fail, come short, or end the process on order."""
 
     def __init__(self, following):
         self.following = following
 
     def write(self, file, data):
-        """As in `Files`, or an ordered fault."""
+        """As in `FileSystem`, or an ordered fault."""
         orders = self.following.look()
         self.following.fail(orders.writes, DISK_ERRORS)
         if orders.kill_in_write and len(data) > MOST_SHORT:
@@ -150,8 +150,8 @@
 def main(orders, *argv):
     """Run a command of the program over the failing world."""
     following = Following(orders)
-    world = seams.World(SteppedClock(following), FailingNetwork(following), FailingFiles(following))
-    seams.system = lambda: world
+    world = seams.System(SteppedClock(following), FailingNetwork(following), FailingFiles(following))
+    seams.real_system = lambda: world
     if name := following.orders.defect:
         from juniperlanding.soak import defects
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,7 +11,7 @@
 from known_red import pytest_collection_modifyitems, pytest_configure, pytest_terminal_summary  # noqa: F401
 
 from juniperlanding.choice import SEC, Dispatcher
-from juniperlanding.ground.seams import Clock, World, system
+from juniperlanding.ground.seams import Clock, System, real_system
 from juniperlanding.net.config import read
 from juniperlanding.net.node import Node
 from juniperlanding.standins.peers import Far, Platform, http, member, read_message
@@ -222,9 +222,9 @@
     def run(self, main):
         trio.run(main, clock=self, instruments=[self])
 
-    def world(self, network, files):
-        """A `World` whose clock this is, and whose disk takes no time beside the flow."""
-        return World(Read(self), network, Quick(self, files))
+    def system(self, network, files):
+        """A `System` whose clock this is, and whose disk takes no time beside the flow."""
+        return System(Read(self), network, Quick(self, files))
 
 
 class Read(Clock):
@@ -252,7 +252,7 @@
 
 
 class Quick:
-    """Files of which `aside` goes on while no time passes."""
+    """Files of which `run_in_thread` goes on while no time passes."""
 
     def __init__(self, even, files):
         self.even, self.files = even, files
@@ -260,11 +260,11 @@
     def __getattr__(self, name):
         return getattr(self.files, name)
 
-    async def aside(self, what, *fields):
+    async def run_in_thread(self, what, *fields):
         self.even.look()
         self.even.held += 1
         try:
-            return await self.files.aside(what, *fields)
+            return await self.files.run_in_thread(what, *fields)
         finally:
             self.even.look()
             self.even.held -= 1
@@ -276,7 +276,7 @@
     def __init__(self, folder):
         self.folder, self.limits, self.wire = folder, {"disk_mb": 3, "sockets": 256}, WIRE
         self.told = {}  # further keys of the platform's file
-        self.lines, self.world = [], system()
+        self.lines, self.system = [], real_system()
         self.violations = 0  # that a scene with a defect put in wants to see
 
     def log(self, event, text="", **fields):
@@ -323,16 +323,16 @@
             "EDGE_LISTEN": "127.0.0.1:0",
             "EDGE_DISCOVERY": "127.0.0.1:1",
         }  # gone; the file wins
-        return read(self.environ, self.world.files)
+        return read(self.environ, self.system.files)
 
     def reread(self):
         """As `serve` does at SIGHUP."""
         return read(
-            {name: self.environ[name] for name in self.environ.keys() - {"EDGE_DISCOVERY"}}, self.world.files
+            {name: self.environ[name] for name in self.environ.keys() - {"EDGE_DISCOVERY"}}, self.system.files
         )
 
     async def start(self):
-        self.node = Node(self.config(), self.world, log=self.log)
+        self.node = Node(self.config(), self.system, log=self.log)
         self.scope = trio.CancelScope()
 
         async def run(task_status):
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -11,7 +11,7 @@
 
 from juniperlanding.choice import SEC
 from juniperlanding.ground.clock import Clock
-from juniperlanding.ground.seams import system
+from juniperlanding.ground.seams import real_system
 from juniperlanding.net.ledger import Ledger, line
 from juniperlanding.net.protocol import GIVEN_UP
 from juniperlanding.shards.books import Sharded
@@ -33,7 +33,7 @@
     def step(self, site, nanoseconds):
         """Step the clock between two processes; the next process reads it again."""
         self.ahead += nanoseconds
-        site.world = system()
+        site.system = real_system()
 
 
 @pytest.fixture
@@ -267,7 +267,7 @@
         old = await first_process(site)
         wall_clock.step(site, HOUR)
         new = await replaced(site)
-        assert new.world.clock is not old.world.clock
+        assert new.system.clock is not old.system.clock
         assert abs(new.decision_loop.now() - old.decision_loop.now()) < SEC
 
     site.run(scene)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -399,20 +399,20 @@
     """A call that was never sent is not in the ledger, whatever the topic type."""
 
     async def scene(site):
-        world = site.world
-        site.world = replace(world, network=Held(site.far))
+        system = site.system
+        site.system = replace(system, network=Held(site.far))
         node = await site.start()
         assert await site.submit("a", topic, ttl=9000) == 202
-        await site.until(lambda: site.world.network.began)
+        await site.until(lambda: site.system.network.began)
         if how == "stopped":
             await node.finish_clients()
-            site.world.network.go.set()
+            site.system.network.go.set()
             assert node.close()
         site.scope.cancel()
         await trio.testing.wait_all_tasks_blocked()
         node.release()
         assert not got(site.far) and list(owed(site)) == ["a"] and untried(site, "a")
-        site.world = world
+        site.system = system
         node = await site.start()
         await site.until(lambda: node.decision_loop.ready and not node.ledger.notifications)
         assert len(got(site.far)) == 1 and not noticed(site, "a")
@@ -556,21 +556,21 @@
 @pytest.mark.parametrize("then", ["killed", "heals"])
 def test_a_disk_that_fails_as_the_connection_comes_up_lets_nothing_leave(site, then, topic):
     async def scene(site):
-        world = site.world
-        site.world = replace(world, network=Held(site.far), files=FailingFiles(world.files))
+        system = site.system
+        site.system = replace(system, network=Held(site.far), files=FailingFiles(system.files))
         node = await site.start()
         assert await site.submit("a", topic, ttl=9000) == 202
-        await site.until(lambda: site.world.network.began)
-        site.world.files.error = errno.EIO
-        site.world.network.go.set()
+        await site.until(lambda: site.system.network.began)
+        site.system.files.error = errno.EIO
+        site.system.network.go.set()
         await site.until(lambda: node.counters["pushes_moot"])
         assert not got(site.far) and node.decision_loop.ledger_failing and untried(site, "a")
         assert await site.submit("b", topic, ttl=9000) == 503
         if then == "killed":
             await killed(site)
-            site.world = world
+            site.system = system
             node = await site.start()
-        site.world.files.error = 0
+        site.system.files.error = 0
         await site.until(lambda: node.decision_loop.ready and not node.ledger.notifications)
         assert len(got(site.far)) == 1 and not noticed(site, "a")
         assert node.counters["pushes_delivered"] == 1 and not node.counters["faults"]
@@ -583,11 +583,11 @@
 @pytest.mark.parametrize("how", ["drain", "wait"])
 def test_what_is_called_back_as_its_connection_comes_up_is_untried_after_a_kill(site, how, first, topic):
     async def scene(site):
-        world = site.world
-        site.world = replace(world, network=Held(site.far))
+        system = site.system
+        site.system = replace(system, network=Held(site.far))
         node = await site.start()
         assert await site.submit("a", topic, ttl=9000) == 202
-        await site.until(lambda: site.world.network.began)
+        await site.until(lambda: site.system.network.began)
         calls = node.decision_loop.endpoints
 
         def off():
@@ -600,13 +600,13 @@
                     node.decision_loop.now() + 60 * SEC
                 )
 
-        for act in (site.world.network.go.set, off) if first == "up" else (off, site.world.network.go.set):
+        for act in (site.system.network.go.set, off) if first == "up" else (off, site.system.network.go.set):
             act()
         await site.until(lambda: node.counters["pushes_moot"])
         await trio.testing.wait_all_tasks_blocked()
         assert not got(site.far) and untried(site, "a")
         await killed(site)
-        site.world = world
+        site.system = system
         await next_process(site)
         assert len(got(site.far)) == 1 and not noticed(site, "a")
 
@@ -631,19 +631,19 @@
 @pytest.mark.parametrize("topic", KINDS)
 def test_one_whose_time_ends_while_it_connects_was_never_on_file(site, topic):
     async def scene(site):
-        site.world = replace(site.world, network=Held(site.far))
-        files, written = site.world.files, []
+        site.system = replace(site.system, network=Held(site.far))
+        files, written = site.system.files, []
 
         class RecordingFiles(FailingFiles):
             def write(self, file, data):
                 written.append(bytes(data))
                 return files.write(file, data)
 
-        site.world = replace(site.world, files=RecordingFiles(files))
+        site.system = replace(site.system, files=RecordingFiles(files))
         node = await site.start()
         assert await site.submit("a", topic, ttl=900) == 202
         await site.until(lambda: noticed(site, "a"))
-        site.world.network.go.set()
+        site.system.network.go.set()
         await site.until(lambda: not node.ledger.notifications and node.decision_loop.endpoints.settled())
         assert not got(site.far) and noticed(site, "a") == {"handed_back"}
         assert b'["t","a"' in b"".join(written) and b'["p",' not in b"".join(written)
@@ -664,9 +664,9 @@
         return each_accepted(first, headers, body)
 
     async def scene(site):
-        world = site.world
+        system = site.system
         for process in range(2):
-            site.world = replace(world, network=Held(site.far))
+            site.system = replace(system, network=Held(site.far))
             await site.start()
             if not process:
                 for name in "xabc":
@@ -676,7 +676,7 @@
                 assert len(set(site.node.decision_loop.endpoints.in_flight.values())) < 4
             await killed(site)
             assert all(untried(site, name) for name in "xabc")
-        site.world = world
+        site.system = system
         await next_process(site)
         assert sorted(runs) == sorted("xabc") and max(sizes) > 1 and not site.platform.notices
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -20,7 +20,7 @@
 from juniperlanding.emulator.network import Fabric
 from juniperlanding.emulator.parties import Endpoint
 from juniperlanding.ground.file import FileError
-from juniperlanding.ground.seams import Files
+from juniperlanding.ground.seams import FileSystem
 from juniperlanding.ground.units import Duration
 from juniperlanding.net import door, node, owner
 from juniperlanding.standins.temper import MS, SEC, TEMPERS, TURNED_AWAY, Reply
@@ -269,10 +269,10 @@
 def test_a_kept_scenario_reads_back_as_it_was(tmp_path):
     drawn = swarm.drawn(SHORT, 5)
     (tmp_path / "a.toml").write_text(swarm.as_toml(drawn))
-    assert scenario.read(tmp_path / "a.toml", Files()) == drawn
+    assert scenario.read(tmp_path / "a.toml", FileSystem()) == drawn
     (tmp_path / "a.toml").write_text('[[fault]]\nkind = "quake"\nat = "5"\ntarget = "nobody"\n')
     with pytest.raises(FileError) as error:
-        scenario.read(tmp_path / "a.toml", Files())
+        scenario.read(tmp_path / "a.toml", FileSystem())
     assert len(error.value.lines) == 3
 
 
@@ -375,7 +375,7 @@
     [("handshakes", "calls_not_recalled", 2, "checked send"), ("unheard", "", 9, None)],
 )
 def test_what_still_connects_is_called_back_and_the_unheard_takes_back_nothing(file, name, seed, rule):
-    found = scenario.read(f"scenarios/{file}.toml", Files())
+    found = scenario.read(f"scenarios/{file}.toml", FileSystem())
     result = swarm.one(swarm.Job(found, seed, name, draw=file == "handshakes"))
     assert (result.breach and result.breach.rule) == rule
 
@@ -385,7 +385,7 @@
 
 @pytest.mark.parametrize("name", ["crowd", "herd"])
 def test_the_days_of_operation_keep_the_rules(name):
-    result = world.play(scenario.read(f"scenarios/{name}.toml", Files()), 1)
+    result = world.play(scenario.read(f"scenarios/{name}.toml", FileSystem()), 1)
     assert result.breach is None and result.counters["door_calls"] > 50 and result.restarts
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -146,7 +146,7 @@
         new.decision_loop.receive_events = receive_late
         return new
 
-    return await start(site, await succession.start_node(make, config, site.world))
+    return await start(site, await succession.start_node(make, config, site.system))
 
 
 def test_what_an_earlier_process_read_of_a_request_outlives_a_freeze_before_it_is_looked_at(site):
@@ -175,7 +175,7 @@
         await site.until(
             lambda: any(connection.message_bytes for connection in site.node.clients.request_waits)
         )
-        new = await succession.start_node(make, config, site.world)
+        new = await succession.start_node(make, config, site.system)
         site.nursery.start_soon(new.run)
         await site.until(lambda: new.clients.request_waits and not new.decision_loop.frozen)
         assert (await site.ask(REQUEST[60:], stream))[0] == 202
--- a/tests/test_endings_endpoint.py
+++ b/tests/test_endings_endpoint.py
@@ -127,14 +127,14 @@
     site.wire = BATCHED
 
     async def scene(site):
-        site.world = replace(site.world, network=Held(site.far))
+        site.system = replace(site.system, network=Held(site.far))
         node = await site.start()
         # The first is a call of its own, whose connection is held; the other two share a call.
         for name, ttl in (("a", 900), ("b", 900), ("c", 5000)):
             assert await site.submit(name, topic, ttl=ttl) == 202
         await site.until(lambda: {notice["message"] for notice in site.platform.notices} == {"a", "b"})
         assert all(notice["outcome"] == "handed_back" for notice in site.platform.notices)
-        site.world.network.go.set()
+        site.system.network.go.set()
         await site.until(lambda: node.counters["pushes_delivered"] and not node.ledger.notifications)
         assert ids(site.far) == [["c"]]
         # A notice may be posted twice.
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -15,14 +15,14 @@
 
 from juniperlanding.cli import reference
 from juniperlanding.fleet.agent import Agent, KeyUnreadable
-from juniperlanding.ground.errors import Trouble, known, system
+from juniperlanding.ground.errors import OperatorError, all_error_classes, as_operator_error
 from juniperlanding.ground.lock import Lock
-from juniperlanding.ground.seams import system as interfaces
+from juniperlanding.ground.seams import real_system as interfaces
 from juniperlanding.net.config import Fleet
 from juniperlanding.net.ledger import line
 
 PAGE = reference.errors_page()  # also imports every module that defines an error code
-REMEDIES = {kind.code: kind.remedy for kind in known()}
+REMEDIES = {kind.code: kind.remedy for kind in all_error_classes()}
 PENDING = line(["t", "a1", "news", 7, 1 << 62, "", ""])
 # The time limit for a process that does not hand over is shortened from 12 s.
 PROGRAM = (
@@ -65,8 +65,8 @@
 
 
 def test_codes_are_unique_and_each_says_what_happened_and_what_to_do():
-    kinds = known()
-    assert len({kind.code for kind in kinds}) == len(kinds) and Trouble not in kinds
+    kinds = all_error_classes()
+    assert len({kind.code for kind in kinds}) == len(kinds) and OperatorError not in kinds
     for kind in kinds:
         assert kind.remedy.endswith(".") and ". " not in kind.remedy and kind.__doc__ and kind.code in PAGE
 
@@ -242,7 +242,7 @@
 def test_the_door_tells_code_and_remedy_of_a_trouble_and_states_as_they_were(site):
     site.told["management"] = "127.0.0.1:0"
 
-    class CutOff(Trouble):
+    class CutOff(OperatorError):
         code, remedy = "cut-off", "Look at the links."
 
     def cut():
@@ -269,12 +269,12 @@
     config = Fleet(("127.0.0.1", 0), None, str(tmp_path / "none"), "fleet", "", [])
     with pytest.raises(KeyUnreadable) as error:
         Agent(config, "a", str(tmp_path), interfaces(), lambda: (0, 0), print)
-    assert isinstance(error.value, OSError) and system(error.value) is error.value
+    assert isinstance(error.value, OSError) and as_operator_error(error.value) is error.value
     for number, code in (
         (errno.EDQUOT, "disk-full"),
         (errno.EIO, "disk-failing"),
         (errno.EROFS, "file-unusable"),
         (errno.ENFILE, "descriptors-out"),
     ):
-        converted = system(OSError(number, "Words"), "here")
-        assert (converted.code, converted.errno, converted.what) == (code, number, "here: words")
+        converted = as_operator_error(OSError(number, "Words"), "here")
+        assert (converted.code, converted.errno, converted.message) == (code, number, "here: words")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -439,7 +439,7 @@
 
 def test_half_told_it_is_refused_in_words(tmp_path):
     from juniperlanding.ground.file import FileError, read
-    from juniperlanding.ground.seams import Files
+    from juniperlanding.ground.seams import FileSystem
 
     (tmp_path / "key").write_text("k" * 40)
     (tmp_path / "key").chmod(0o644)
@@ -452,7 +452,7 @@
     ):
         (tmp_path / "f.toml").write_text(f'[instance]\nname = "a"\n[fleet]\n{text}\n')
         with pytest.raises(FileError, match=word):
-            read(tmp_path / "f.toml", Files())
+            read(tmp_path / "f.toml", FileSystem())
 
 
 # ---- any order of faults
--- a/tests/test_gone_endpoint.py
+++ b/tests/test_gone_endpoint.py
@@ -11,7 +11,7 @@
 def test_a_whole_list_without_an_endpoint_calls_back_what_still_connects(site):
     async def scene(site):
         held = Held(site.far)
-        site.world = replace(site.world, network=held)
+        site.system = replace(site.system, network=held)
         node = await site.start()
         assert await site.submit("a0", ttl=700) == 202
         await site.until(lambda: held.began)
--- a/tests/test_ground.py
+++ b/tests/test_ground.py
@@ -14,7 +14,7 @@
 from juniperlanding.cli import COMMANDS, Refused, load, main
 from juniperlanding.ground import file, lock, log, reference
 from juniperlanding.ground.clock import Clock
-from juniperlanding.ground.seams import Files, system
+from juniperlanding.ground.seams import FileSystem, real_system
 from juniperlanding.ground.units import Duration, Size
 from juniperlanding.net import config
 
@@ -41,7 +41,7 @@
 
 def faults(path):
     with pytest.raises(file.FileError) as error:
-        file.read(path, Files())
+        file.read(path, FileSystem())
     return error.value.lines
 
 
@@ -138,7 +138,7 @@
 def test_what_a_file_says_goes_before_its_includes_and_lists_are_joined(tmp_path):
     (tmp_path / "fleet.toml").write_text('[limits]\nsockets = 100\ndisk = "1MB"\n[[kind]]\nname = "shed"\n')
     (tmp_path / "a.toml").write_text('include = ["fleet.toml"]\n' + GOOD + "[limits]\nsockets = 200\n")
-    parsed = file.read(tmp_path / "a.toml", Files())
+    parsed = file.read(tmp_path / "a.toml", FileSystem())
     assert parsed.values["limits.sockets"] == (200, str(tmp_path / "a.toml"))
     assert parsed.values["limits.disk"] == (1_000_000, str(tmp_path / "fleet.toml"))
     assert [kind.name for kind, _ in parsed.tables["kind"]] == ["shed", "shop"]
@@ -167,7 +167,7 @@
     | st.dictionaries(st.sampled_from(["name", "kind", "ttl", "rank", "x y"]), inner, max_size=3),
     max_leaves=6,
 )
-KEYS = st.sampled_from([*file.fields(file.sections.File), *file.fields(file.sections.Instance), "odd"])
+KEYS = st.sampled_from([*file.keys_of(file.sections.File), *file.keys_of(file.sections.Instance), "odd"])
 
 
 @settings(max_examples=200, deadline=None)
@@ -185,7 +185,7 @@
 def reads_or_raises_file_error(content):
     """Reads `content` as an operators' file; any exception other than `FileError` fails the test."""
 
-    class OneFile(Files):
+    class OneFile(FileSystem):
         def read(self, path, most=0):
             if str(path) != "a.toml":
                 raise FileNotFoundError(2, "No such file or directory", path)
@@ -223,7 +223,9 @@
     assert found["holding.most_held"] == {"value": 9, "from": str(tmp_path / "a.toml")}
     assert found["instance.listen"] == {"value": "127.0.0.1:3", "from": "EDGE_LISTEN"}
     assert found["instance.discovery"] == {"value": "127.0.0.1:2", "from": origin}
-    read = config.read(os.environ, Files(), config.from_operators(file.read(tmp_path / "a.toml", Files())))
+    read = config.read(
+        os.environ, FileSystem(), config.from_operators(file.read(tmp_path / "a.toml", FileSystem()))
+    )
     assert (read.settings["slots"], read.settings["most_held"], read.disk) == (7, 9, 3_000_000)
     assert (read.listen, read.discovery, read.state) == (
         ("127.0.0.1", 3),
@@ -307,7 +309,7 @@
     assert (
         missing.wait(10) == 2 and "missing" in missing.stderr.read() and not (tmp_path / "missing").exists()
     )
-    held = system().network.bind(("127.0.0.1", 0))
+    held = real_system().network.bind(("127.0.0.1", 0))
     held.listen()
     taken = serve(tmp_path, port=held.address[1])
     assert taken.wait(10) == 2 and "address already in use" in taken.stderr.read()
@@ -317,19 +319,19 @@
 
 def test_what_is_secret_or_raw_never_reaches_the_log(capsys):
     for form in log.FORMS:
-        say = log.to("n0", Clock(), form)
+        say = log.open_log("n0", Clock(), form)
         say("fault", part="x", body=b"card 4111", key="k-17", other=b"card 4111", peer="a\nforged line")
         out = capsys.readouterr().err
         assert "4111" not in out and "k-17" not in out and out.count("\n") == 1 and "peer" in out
     try:
         {}["k-17"]
     except KeyError as error:
-        assert log.described(error) == "KeyError" and ":" in log.where(error)
+        assert log.safe_description(error) == "KeyError" and ":" in log.error_location(error)
 
 
 def test_json_lines_carry_figures_as_fields(capsys):
     clock = SetClock(5 * log.SEC)
-    say = log.to("n0", clock, log.JSON, lines=2)
+    say = log.open_log("n0", clock, log.JSON, lines=2)
     for number in range(4):
         say("conn", end="closed", requests=number)
     clock.at += log.SEC
@@ -347,7 +349,7 @@
 
 def test_a_wall_clock_set_back_silences_no_event(capsys):
     clock = SetClock(5 * log.SEC)
-    say = log.to("n0", clock, lines=1)
+    say = log.open_log("n0", clock, lines=1)
     say("conn")
     clock.ahead, clock.at = -3600 * log.SEC, clock.at + log.SEC
     say("conn")
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -91,7 +91,7 @@
                 site.far = await Far().open(nursery)
                 site.network = AgentNetwork()
                 site.network.agent = site.platform
-                site.world = replace(site.world, clock=TrioClock(), network=site.network)
+                site.system = replace(site.system, clock=TrioClock(), network=site.network)
                 await scene(site)
                 nursery.cancel_scope.cancel()
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -20,8 +20,8 @@
 
 from juniperlanding.choice import SEC
 from juniperlanding.cli import main
-from juniperlanding.ground.log import LINES, to
-from juniperlanding.ground.seams import Clock, system
+from juniperlanding.ground.log import LINES, open_log
+from juniperlanding.ground.seams import Clock, real_system
 from juniperlanding.net import line as net_line
 from juniperlanding.net import protocol
 from juniperlanding.net.counters import Counters
@@ -247,9 +247,11 @@
 
 
 async def endpoints(site, outcomes, most_open=8):
-    world = replace(system(), clock=CLOCK)  # as `send` reads it, so that a stepped wall clock does no harm
+    system = replace(
+        real_system(), clock=CLOCK
+    )  # as `send` reads it, so that a stepped wall clock does no harm
     calls = Endpoints(
-        site.config(), world, most_open, partial(record_outcomes, outcomes), Counters(), site.log
+        site.config(), system, most_open, partial(record_outcomes, outcomes), Counters(), site.log
     )
     calls.addresses["s-1"] = site.far.address
     return calls
@@ -618,12 +620,12 @@
         node = await site.start()
         assert await site.submit("a1", "order") == 202
         await site.until(lambda: site.far.got)
-        node.ledger.notifications["a1"].ttl_at = site.world.clock.now() + int(left * SEC)
+        node.ledger.notifications["a1"].ttl_at = site.system.clock.now() + int(left * SEC)
         await node.decision_loop.enqueue(
             node.decision_loop.on_outcomes,
             "s-1",
             [("a1", 0, ending, SEC, 0, True, None)],
-            site.world.clock.now(),
+            site.system.clock.now(),
         )
         await site.until(lambda: not node.ledger.notifications)
         assert [notice["message"] for notice in site.platform.notices] == notices
@@ -669,7 +671,7 @@
             decision_loop.on_outcomes,
             "s-1",
             [("a1", 0, "delivered", SEC, 0, True, None)],
-            site.world.clock.now(),
+            site.system.clock.now(),
         )
         await site.until(lambda: not decision_loop.unfinished)
         assert decision_loop.ledger_failing and node.counters["svc.results.order.succeeded"] == 1
@@ -706,7 +708,7 @@
         node = await site.start()
         assert await site.submit("a1", "order") == 202
         await site.until(lambda: site.far.got)
-        heard_at = site.world.clock.now()
+        heard_at = site.system.clock.now()
         node.ledger.notifications["a1"].ttl_at = heard_at + SEC // 5
         await trio.sleep(0.21)
         await node.decision_loop.enqueue(
@@ -1237,7 +1239,7 @@
 
 def test_log_lines_are_limited_by_code_and_the_rest_is_counted(capsys):
     clock = SetClock(0)
-    log = to("n0", clock)
+    log = open_log("n0", clock)
     for _ in range(LINES + 5):
         log("conn", "x")
     log("module", "y")
@@ -1251,7 +1253,7 @@
     read, write = os.pipe()
     os.set_blocking(write, False)
     with os.fdopen(read), os.fdopen(write, "w") as sink:
-        log = to("n0", CLOCK, sink=sink)
+        log = open_log("n0", CLOCK, sink=sink)
         for number in range(3000):
             log(number, "x" * 100)
         os.set_blocking(read, False)
@@ -1288,8 +1290,8 @@
 
 def test_one_record_that_cannot_be_restored_keeps_no_other_back(site):
     async def scene(site):
-        node = Node(site.config(), site.world, log=site.log)
-        for number, ttl_at in (("a1", "soon"), ("a2", site.world.clock.now() + SEC)):
+        node = Node(site.config(), site.system, log=site.log)
+        for number, ttl_at in (("a1", "soon"), ("a2", site.system.clock.now() + SEC)):
             node.ledger.add_accepted(number, "news", 8, ttl_at, "", b"")
         node.decision_loop.start_module([])
         assert node.decision_loop.ready and node.counters["faults"] == 1
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -244,4 +244,4 @@
     site.told = {"limits": None, "settings": None, "known": None}
     config = site.config()
     assert config.connect_timeout == SEC and config.settings == {"topic_types": []}
-    assert read(site.environ, site.world.files).name == "n0"
+    assert read(site.environ, site.system.files).name == "n0"
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -22,10 +22,10 @@
 from juniperlanding.accord.words import Grant, Kept, Released, Says
 from juniperlanding.accord.words import decoded as accord_word
 from juniperlanding.fleet import words
-from juniperlanding.ground.errors import Trouble
+from juniperlanding.ground.errors import OperatorError
 from juniperlanding.ground.file import FileError
 from juniperlanding.ground.file import read as read_file
-from juniperlanding.ground.seams import Files
+from juniperlanding.ground.seams import FileSystem
 from juniperlanding.net import config, protocol, succession
 from juniperlanding.net.ledger import Ledger
 from juniperlanding.net.node import Node
@@ -41,7 +41,7 @@
 PLAIN = TOPICS % "2s"
 
 
-class Failing(Files):
+class Failing(FileSystem):
     """A disk on which the file named by `full` cannot be written."""
 
     full = ""
@@ -62,7 +62,7 @@
         self.told = {"name": f"d{number}"}
         self.files = Failing()
         self.even = even
-        self.world = even.world(self.world.network, self.files)
+        self.system = even.system(self.system.network, self.files)
 
     def config(self):
         told = super().config()
@@ -153,8 +153,8 @@
         await a.in_force(2)
         # Another process takes over: it asks first, and has the module's records with their terms.
         told, life = a.config(), a.policy.accord.life
-        old, made = a.node, partial(lambda offer: Node(told, a.world, log=a.log, offer=offer))
-        a.node = await succession.start_node(made, told, a.world)
+        old, made = a.node, partial(lambda offer: Node(told, a.system, log=a.log, offer=offer))
+        a.node = await succession.start_node(made, told, a.system)
         assert a.node.parts[1].holds() is None and a.node.parts[1].before[:1] == [life]
         scope = trio.CancelScope()
 
@@ -286,7 +286,7 @@
         assert (await a.ask(b"GET /_health HTTP/1.1\r\nHost: api\r\n\r\n"))[0] == 503
         assert a.policy.not_ready_reason().startswith("no licence")
         assert not a.node.ledger.notifications and a.node.counters["unlicensed"] == 1
-        with pytest.raises(Trouble, match="no licence"):
+        with pytest.raises(OperatorError, match="no licence"):
             a.policy.propose(a.write(PLAIN))
         await b.start()
         await a.ready()
@@ -358,7 +358,7 @@
         await c.in_force(1)
         assert any("counts as nothing" in text for _, text in c.lines)
         await c.until(lambda: c.policy.accord.voter.cleared)
-        await c.until(lambda: Folder(Files(), c.folder / "state", c.log).read(KEPT, Kept()).number == 1)
+        await c.until(lambda: Folder(FileSystem(), c.folder / "state", c.log).read(KEPT, Kept()).number == 1)
 
     three(scene)
 
@@ -397,7 +397,7 @@
 
 
 def test_a_file_is_written_whole_or_not_at_all(tmp_path):
-    class Short(Files):
+    class Short(FileSystem):
         left = 0
 
         def write(self, file, data):
@@ -539,13 +539,13 @@
     fleet = '[fleet]\nenabled = true\naddress = "127.0.0.1:5"\nkey = "key"\n'
     file.write_text(f'[instance]\nname = "a"\n{fleet}[policy]\n{text}\n')
     if word is None:
-        told = config.from_operators(read_file(file, Files()))
+        told = config.from_operators(read_file(file, FileSystem()))
         assert told.policy.folder == str(tmp_path / "policies")
         assert told.policy.voters["b"] == ("127.0.0.1", 6)
         file.write_text(f'[instance]\nname = "a"\n[policy]\n{text}\n')
         word = r"policy.enabled: found true, expected `\[fleet\]`"
     with pytest.raises(FileError, match=word):
-        read_file(file, Files())
+        read_file(file, FileSystem())
 
 
 def test_off_it_imports_opens_and_writes_nothing(site, tmp_path):
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -264,7 +264,7 @@
     ]
     site.wire = WIRE | {"request_classes": topics}
     site.clock = SettableClock()
-    site.world = replace(site.world, clock=site.clock)
+    site.system = replace(site.system, clock=site.clock)
     return site
 
 
@@ -316,8 +316,8 @@
 
     async def scene(site):
         first = await pushed_and_killed(site)
-        network = LateConnects(site.world.network, site.far.address)
-        site.world = replace(site.world, network=network)
+        network = LateConnects(site.system.network, site.far.address)
+        site.system = replace(site.system, network=network)
         site.clock.set(first + SEC // 2)
         node = await site.start()
         await site.until(lambda: network.requested)
@@ -357,13 +357,13 @@
 @pytest.mark.parametrize("topic", ["order", "pay", "news"])
 def test_one_that_connects_at_a_hand_over_and_again_at_a_kill_is_called_once(site, topic):
     async def scene(site):
-        world = site.world
-        site.world = replace(world, network=Held(site.far))
+        system = site.system
+        site.system = replace(system, network=Held(site.far))
         old = await first_process(site)
         assert await site.submit("a", topic, ttl=9000) == 202
-        await site.until(lambda: site.world.network.began == 1)
+        await site.until(lambda: site.system.network.began == 1)
         new = await replaced(site)
-        await site.until(lambda: site.world.network.began == 2)
+        await site.until(lambda: site.system.network.began == 2)
         assert old.counters["pushes_moot"] == 1 and list(new.decision_loop.endpoints.in_flight) == [("a", 1)]
         assert not owed(site)["a"].pushes
         new.previous_process.close()
@@ -371,7 +371,7 @@
         await trio.testing.wait_all_tasks_blocked()
         old.scope.cancel()
         await trio.testing.wait_all_tasks_blocked()
-        site.world = world
+        site.system = system
         node = await site.start()
         await site.until(lambda: node.decision_loop.ready and not node.ledger.notifications)
         assert len(far_calls(site)) == 1 and not site.platform.notices
@@ -411,9 +411,9 @@
     async def scene(site):
         with socket.socket() as unused:
             unused.bind(("127.0.0.1", 0))
-            site.world = replace(site.world, network=Held(site.far))
+            site.system = replace(site.system, network=Held(site.far))
             node = await site.start()
-            calls, network = node.decision_loop.endpoints, site.world.network
+            calls, network = node.decision_loop.endpoints, site.system.network
             assert await site.submit("a", "order", ttl=9000) == 202
             for times in range(1, 4):
                 await site.until(lambda: network.began == times and calls.in_flight)  # noqa: B023
@@ -494,7 +494,7 @@
 
     A restart finds what was written, synced or not: after the write it is in the kernel."""
     path, clock = site.folder / "state" / "ledger", SettableClock()
-    files = SnapshottingFiles(site.world.files, path)
+    files = SnapshottingFiles(site.system.files, path)
     answers = {"a1": [http(429), http(200)], "c1": [http(500)], "d1": [None]}
 
     def answer(first, headers, body):
@@ -504,7 +504,7 @@
     begun = []
 
     async def first(site):
-        site.world = replace(site.world, files=files, clock=clock)
+        site.system = replace(site.system, files=files, clock=clock)
         node, begun[:] = await site.start(), [clock.now()]
         for name in answers:
             assert await site.submit(name, "order", ttl=9000) == 202
@@ -518,7 +518,7 @@
     async def later(site):
         before = LedgerState().load(path)
         found, ended = dict(before.notifications), dict(before.ended)
-        site.world = replace(site.world, files=files.files)
+        site.system = replace(site.system, files=files.files)
         clock.set(begun[0] + 3 * SEC)
         site.told["known"] = {
             "complete": True,
@@ -598,7 +598,7 @@
 
     async def scene(site):
         site.config()
-        now = site.world.clock.now()
+        now = site.system.clock.now()
         accepted = [["t", name, topic, 7, now + 9 * SEC, name, ""] for name in ("a0", "a1", "a2")]
         lost = ["p", "a1", 0, 0, now - SEC] if what == "p" else ["x", "a1"]
         lines = [line(accepted[0]), line(accepted[1]), beyond_repair(lost), line(accepted[2])]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,7 +12,7 @@
 
 from juniperlanding import rules
 from juniperlanding.choice import SEC
-from juniperlanding.ground.seams import Files
+from juniperlanding.ground.seams import FileSystem
 from juniperlanding.net import protocol
 from juniperlanding.net.clients import Clients
 from juniperlanding.net.counters import VIOLATIONS
@@ -127,7 +127,7 @@
 
     async def scene(site):
         held = Held(site.far)
-        site.world = replace(site.world, network=held)
+        site.system = replace(site.system, network=held)
         node = await site.start()
         assert await site.submit("a0", ttl=3000) == 202
         await site.until(lambda: held.began)
@@ -229,13 +229,13 @@
 def test_a_record_that_takes_longer_to_write_than_its_message_has_lets_nothing_leave(site):
     """The write of the push record takes until after the TTL; the time is checked after it."""
 
-    class SlowDisk(Files):
+    class SlowDisk(FileSystem):
         def write(self, file, data):
             if b'["p"' in bytes(data):
                 time.sleep(0.7)
             return super().write(file, data)
 
-    site.world = replace(site.world, files=SlowDisk())
+    site.system = replace(site.system, files=SlowDisk())
 
     async def scene(site):
         node = await site.start()
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -266,7 +266,7 @@
     async def scene(site):
         with pytest.raises(StillSplit) as refused:
             await site.start()
-        assert refused.value.code == "ledger-split" and "[shards]" in refused.value.told[0]
+        assert refused.value.code == "ledger-split" and "[shards]" in refused.value.display_lines[0]
 
     site.run(scene)
     assert {"shards", "ledger.2", "ledger.3"} <= {*os.listdir(folder)}
@@ -281,7 +281,7 @@
     before = {path: bytes(content) for path, content in work.disk.files.items()}
     with pytest.raises(Damaged) as refused:
         work.open()
-    assert refused.value.code == "shards-damaged" and "ledger.N" in refused.value.told[0]
+    assert refused.value.code == "shards-damaged" and "ledger.N" in refused.value.display_lines[0]
     assert before == work.disk.files
 
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -477,7 +477,7 @@
 def test_off_it_imports_nothing_and_half_told_it_is_refused(site, tmp_path):
     """As `run` starts it, whatever the platform's file and environment say of sites."""
     from juniperlanding.ground.file import FileError, read
-    from juniperlanding.ground.seams import Files
+    from juniperlanding.ground.seams import FileSystem
 
     (tmp_path / "state").mkdir()
     site.told = {"sites": {"enabled": True}, "fleet": {"enabled": True}}
@@ -504,4 +504,4 @@
     for text in ("[sites]\nenabled = true", '[fleet]\nsite = "east"\n[sites]\nenabled = true'):
         (tmp_path / "f.toml").write_text(f'[instance]\nname = "a"\n{text}\n')
         with pytest.raises(FileError, match="since sites are enabled"):
-            read(tmp_path / "f.toml", Files())
+            read(tmp_path / "f.toml", FileSystem())
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -213,7 +213,7 @@
             return await super().connect(address)
 
     async def scene(site):
-        site.world = replace(site.world, network=SlowNetwork())
+        site.system = replace(site.system, network=SlowNetwork())
         node = await site.start()
         assert await site.submit("a1", "order") == 202
         await site.until(lambda: node.counters["pushes_delivered"] + node.counters["pushes_unreachable"])
--- a/tests/test_standing_bytes.py
+++ b/tests/test_standing_bytes.py
@@ -77,7 +77,7 @@
 
     async def scene(site):
         network = WatchedNetwork(site.far, lambda name: has_received(socks[name], b"HTTP/1.1 202"))
-        site.world = replace(site.world, network=network)
+        site.system = replace(site.system, network=network)
         node = await site.start()
         await site.until(lambda: node.decision_loop.ready)
         carry_out = node.decision_loop.execute_requests
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -71,7 +71,7 @@
 def test_failing_accepts_keep_no_client_from_its_answer(site):
     """With 100 new connections a second and 30% of accepts failing, each is answered within a second."""
     network = FailingNetwork(FailingListener)
-    site.world = replace(site.world, network=network)
+    site.system = replace(site.system, network=network)
 
     async def scene(site):
         await site.start()
@@ -114,7 +114,7 @@
     """Six in a row of each error: the call is made in the end; the errors count neither against its
     endpoint nor as pushes."""
     network = FailingConnects(0, 0)
-    site.world = replace(site.world, network=network)
+    site.system = replace(site.system, network=network)
 
     async def scene(site):
         node = await site.start()
@@ -132,7 +132,7 @@
     site.run(scene)
 
 
-class FailingDisk(seams.Files):
+class FailingDisk(seams.FileSystem):
     """Writes fail while `failing` is set: all of them, or a random share (seeded)."""
 
     def __init__(self, share=1.0, number=errno.EIO):
@@ -151,7 +151,7 @@
 
     async def scene(site):
         await taken_and_killed(site, ["a0", "a1"])
-        site.world = replace(site.world, files=files)
+        site.system = replace(site.system, files=files)
         files.failing = True
         node = await site.start()
         await opened(site, node)
@@ -181,7 +181,7 @@
             return self.listener.waiting()
 
     network = FailingNetwork(lambda listener: Once(listener, share=0.0))
-    site.world = replace(site.world, network=network)
+    site.system = replace(site.system, network=network)
 
     async def scene(site):
         node = await site.start()
@@ -212,7 +212,7 @@
 
 def test_each_kind_of_failed_accept_is_logged_once_a_minute_and_counted_each_time(site):
     network = FailingNetwork(lambda listener: FailingListener(listener, [errno.EMFILE], 0.5))
-    site.world = replace(site.world, network=network)
+    site.system = replace(site.system, network=network)
 
     async def scene(site):
         node = await site.start()
@@ -227,7 +227,7 @@
 def test_a_route_that_stays_missing_counts_against_the_endpoint(site):
     """It is waited for only for a moment, since there may be a route to another endpoint."""
     network = FailingConnects(errno.ENETUNREACH, 1 << 30)
-    site.world = replace(site.world, network=network)
+    site.system = replace(site.system, network=network)
 
     async def scene(site):
         node = await site.start()
@@ -243,7 +243,7 @@
 
 def test_a_disk_that_fails_in_three_of_ten_writes_turns_few_away(site):
     files = FailingDisk(share=0.3)
-    site.world = replace(site.world, files=files)
+    site.system = replace(site.system, files=files)
 
     async def scene(site):
         node = await site.start()
@@ -289,7 +289,7 @@
     async def scene(site):
         node = await site.start()
         assert await site.submit("a0", dest=8, ttl=ttl) == 202
-        site.world = replace(site.world, files=files)
+        site.system = replace(site.system, files=files)
         node.ledger.files = files
         files.failing = True
         await node.decision_loop.enqueue(
@@ -303,7 +303,7 @@
             or not node.decision_loop.ledger_failing
         )
         site.kill()
-        site.world = replace(site.world, files=seams.Files())
+        site.system = replace(site.system, files=seams.FileSystem())
         node = await site.start()
         await site.until(lambda: not node.ledger.notifications)
         assert {notice["outcome"] for notice in site.platform.notices} == {"given_up"}
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -44,11 +44,11 @@
     """Start a second process, which takes over from the running one."""
     config = site.config()
     make = partial(node, site, config)
-    return await start(site, await succession.start_node(make, config, site.world))
+    return await start(site, await succession.start_node(make, config, site.system))
 
 
 def node(site, config, offer=None):
-    return Node(config, site.world, log=site.log, offer=offer)
+    return Node(config, site.system, log=site.log, offer=offer)
 
 
 async def first(site):
@@ -314,7 +314,7 @@
             )
         before = len(os.listdir("/proc/self/fd"))
         with pytest.raises(DiskFailing if fails == "to load" else succession.OtherForm):
-            await succession.start_node(make, site.config(), site.world)
+            await succession.start_node(make, site.config(), site.system)
         await site.until(
             lambda: any("serving on" in text for _, text in site.lines) and old.decision_loop.ready
         )
