--- a/juniperlanding/net/discovery.py
+++ b/juniperlanding/net/discovery.py
@@ -37,8 +37,8 @@
         self.unreadable_count, self.reread_at = 0, float("inf")
         known = protocol.parse_members(config.known_endpoints.get("members", []), self.kinds, self.zones)
         self.last_read = {entry[0]: (entry, address) for entry, address in known}  # by endpoint
-        # wanted: set while the list is to be followed or fetched; whole: the next call asks for the whole
-        # list; on: the decision module is subscribed; scope: of the call under way.
+        # wanted: set while the list is to be followed or fetched; wants_whole_list: the next call asks for
+        # the whole list; on: the decision module is subscribed; scope: of the call under way.
         self.wanted, self.wants_whole_list, self.on, self.scope = (
             trio.Event(),
             False,
